--- /dev/null
+++ b/crates/pulleywood-protocol/tests/outer_names.rs
@@ -0,0 +1,180 @@
+//! `docs/outer-names.txt` lists every serde name of this crate's sources, the settings included.
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use syn::{Attribute, Fields, Item, ItemEnum, LitStr};
+
+/// How the container renames its fields or variants.
+#[derive(Clone, Copy, PartialEq)]
+enum Case {
+    AsWritten,
+    Snake,
+}
+
+/// What the serde attributes of a type, field or variant say about its name.
+struct SerdeAttributes {
+    rename: Option<String>,
+    case: Case,
+    tag: Option<String>,
+    skipped: bool,
+    untagged: bool,
+}
+
+impl SerdeAttributes {
+    /// Fails for an attribute that it does not know, which may change a name.
+    fn read(attributes: &[Attribute]) -> SerdeAttributes {
+        let mut found = SerdeAttributes {
+            rename: None,
+            case: Case::AsWritten,
+            tag: None,
+            skipped: false,
+            untagged: false,
+        };
+        for attribute in attributes.iter().filter(|a| a.path().is_ident("serde")) {
+            let parsed = attribute.parse_nested_meta(|meta| {
+                let key = meta.path.require_ident()?.to_string();
+                let value = match meta.value() {
+                    Ok(value) => Some(value.parse::<LitStr>()?.value()),
+                    Err(_) => None,
+                };
+                match (key.as_str(), value) {
+                    ("rename", Some(name)) => found.rename = Some(name),
+                    ("rename_all", Some(case)) if case == "snake_case" => found.case = Case::Snake,
+                    ("tag", Some(name)) => found.tag = Some(name),
+                    ("skip", None) => found.skipped = true,
+                    ("untagged", None) => found.untagged = true,
+                    ("default" | "skip_serializing_if" | "from" | "into" | "try_from", _)
+                    | ("other" | "transparent", None) => {}
+                    (key, _) => return Err(meta.error(format!("unknown serde attribute {key}"))),
+                }
+                Ok(())
+            });
+            parsed.unwrap();
+        }
+        found
+    }
+
+    /// The name written out for an item that the source calls `name`.
+    fn outer_name(&self, name: &str, container: Case) -> String {
+        match (&self.rename, container) {
+            (Some(renamed), _) => renamed.clone(),
+            (None, Case::AsWritten) => name.to_owned(),
+            (None, Case::Snake) => snake_case(name),
+        }
+    }
+}
+
+fn snake_case(name: &str) -> String {
+    let mut snake = String::new();
+    for c in name.chars() {
+        if c.is_ascii_uppercase() && !snake.is_empty() {
+            snake.push('_');
+        }
+        snake.push(c.to_ascii_lowercase());
+    }
+    snake
+}
+
+fn is_serialized(attributes: &[Attribute]) -> bool {
+    let derives = attributes.iter().filter(|a| a.path().is_ident("derive"));
+    let mut found = false;
+    for derive in derives {
+        let parsed = derive.parse_nested_meta(|meta| {
+            let name = &meta.path.segments.last().unwrap().ident;
+            found |= name == "Serialize" || name == "Deserialize";
+            Ok(())
+        });
+        parsed.unwrap();
+    }
+    found
+}
+
+fn field_names(fields: &Fields, container: Case, names: &mut BTreeSet<String>) {
+    for field in fields {
+        let attributes = SerdeAttributes::read(&field.attrs);
+        if let (false, Some(name)) = (attributes.skipped, &field.ident) {
+            names.insert(attributes.outer_name(&name.to_string(), container));
+        }
+    }
+}
+
+fn variant_names(item: &ItemEnum, container: &SerdeAttributes, names: &mut BTreeSet<String>) {
+    for variant in &item.variants {
+        let attributes = SerdeAttributes::read(&variant.attrs);
+        if !container.untagged {
+            names.insert(attributes.outer_name(&variant.ident.to_string(), container.case));
+        }
+        field_names(&variant.fields, attributes.case, names);
+    }
+}
+
+/// The names that the serialized types of one source file are written with.
+fn outer_names(source: &str) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for item in syn::parse_file(source).unwrap().items {
+        match item {
+            Item::Struct(item) if is_serialized(&item.attrs) => {
+                let container = SerdeAttributes::read(&item.attrs);
+                field_names(&item.fields, container.case, &mut names);
+            }
+            Item::Enum(item) if is_serialized(&item.attrs) => {
+                let container = SerdeAttributes::read(&item.attrs);
+                names.extend(container.tag.clone());
+                variant_names(&item, &container, &mut names);
+            }
+            _ => {}
+        }
+    }
+    names
+}
+
+fn source_files(folder: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            source_files(&path, files);
+        } else if path.extension().is_some_and(|e| e == "rs") {
+            files.push(path);
+        }
+    }
+}
+
+#[test]
+fn every_serde_name_and_settings_key_is_listed() {
+    let crate_folder = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let list = std::fs::read_to_string(crate_folder.join("../../docs/outer-names.txt")).unwrap();
+    let listed: BTreeSet<&str> = list.lines().filter(|l| !l.starts_with('#')).collect();
+    let mut files = Vec::new();
+    source_files(&crate_folder.join("src"), &mut files);
+    let mut found = 0;
+    for file in files {
+        for name in outer_names(&std::fs::read_to_string(&file).unwrap()) {
+            found += 1;
+            let is_listed = listed.contains(name.as_str());
+            assert!(
+                is_listed,
+                "{name} of {} is not in docs/outer-names.txt",
+                file.display()
+            );
+        }
+    }
+    assert!(found > 200, "only {found} names found");
+}
+
+#[test]
+fn names_follow_the_serde_attributes() {
+    let source = r#"
+        #[derive(Debug, Serialize)]
+        #[serde(tag = "verb", rename_all = "snake_case")]
+        enum Command {
+            LaunchTask { #[serde(rename = "try")] attempt: u64, #[serde(skip)] cached: u64 },
+            #[serde(rename = "halt")]
+            Stop(u64),
+        }
+        #[derive(Deserialize)]
+        struct Page { first: u64, #[serde(rename = "ledger", default)] revision: u64 }
+        struct Internal { hidden: u64 }
+    "#;
+    let expected = ["first", "halt", "launch_task", "ledger", "try", "verb"];
+    assert!(outer_names(source).into_iter().eq(expected));
+}
