--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancelling a job: one transaction ends it, wherever it is stored.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::job_batch::JobBatchRecord;
 use pulleywood_protocol::record::{
     ChunkRecord, FinalRecord, JobRecord, Key, TaskSet, final_key, job_key,
@@ -90,7 +90,7 @@
     let Some(item) = context.store.get(RequestPriority::User, key)? else {
         return Ok(None);
     };
-    let Some(record) = read::<JobRecord>(Some(&item.value), key) else {
+    let Some(record) = decode_record::<JobRecord>(Some(&item.value), key) else {
         return Ok(None);
     };
     let tasks = record.spec.tasks;
@@ -102,7 +102,7 @@
         let (items, _) = context.store.list(RequestPriority::User, &continuations)?;
         for item in items {
             if let Some(Key::Job(_, _, n)) = Key::parse(&item.path)
-                && let Some(more) = read::<ChunkRecord>(Some(&item.value), &item.path)
+                && let Some(more) = decode_record::<ChunkRecord>(Some(&item.value), &item.path)
             {
                 done.add_chunk(&more.done, n, chunk, tasks);
                 transaction = transaction
@@ -138,8 +138,8 @@
     fn apply(self, context: &ControllerContext, id: &JobId, revision: Revision) -> CancelOutcome {
         let now = context.clock.now();
         let mut controller = context.controller.lock();
-        controller.end_job(id, revision);
-        controller.left_job_batches(self.job_batches, revision, now);
+        controller.remove_ended_job(id, revision);
+        controller.put_job_batches(self.job_batches, revision, now);
         CancelOutcome::Cancelled(self.state)
     }
 }
--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -14,7 +14,7 @@
     let now = context.clock.now();
     let store_answers = context.store.answers();
     let controller = context.controller.lock();
-    let started = controller.is_cached
+    let started = controller.cache_loaded
         && controller.cached.layout.is_some()
         && !controller.config.flavors.is_empty();
     let mut digests = controller.digests.values();
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -1,7 +1,7 @@
 //! What users are told of a job. It rests on a commit or on a read begun after the
 //! request came; only final states are kept.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::job::JobAnswer;
 use pulleywood_protocol::record::{CLOSED, FinalRecord, before_final_key, closed_job, final_key};
 use pulleywood_protocol::{JobId, JobStatus};
@@ -27,11 +27,11 @@
 /// What is stored of a job. Another controller may have told its user more than this one
 /// has seen: what is not final rests on a read begun after the request came.
 pub fn lookup(context: &ControllerContext, id: &JobId) -> Result<StoredJob, StoreError> {
-    if let Some(state) = context.finals.lock().get(id) {
+    if let Some(state) = context.final_states.lock().get(id) {
         return Ok(StoredJob::Final(state));
     }
     context.linearizable_reads.wait_for_read()?;
-    if let Some(done) = context.controller.lock().cached.jobs.get(id) {
+    if let Some(done) = context.controller.lock().cached.live_jobs.get(id) {
         return Ok(StoredJob::Live(*done));
     }
     // That read may have brought its end. Else it was not live then: if it has no final
@@ -46,7 +46,7 @@
 /// process, is read with those next to it: after a restart every user may ask, and a
 /// request for each would exceed the store's rate.
 fn final_state(context: &ControllerContext, id: &JobId) -> Result<Option<FinalRecord>, StoreError> {
-    if let Some(state) = context.finals.lock().get(id) {
+    if let Some(state) = context.final_states.lock().get(id) {
         return Ok(Some(state));
     }
     let key = final_key(id);
@@ -55,12 +55,12 @@
         .store
         .slice(RequestPriority::Question, CLOSED, &after, NEIGHBOURS)?;
     let beyond = !page.more || page.items.last().is_some_and(|last| last.path >= key);
-    let mut finals = context.finals.lock();
+    let mut finals = context.final_states.lock();
     for item in &page.items {
         if let Some(job) = closed_job(&item.path)
-            && let Some(state) = read(Some(&item.value), &item.path)
+            && let Some(state) = decode_record(Some(&item.value), &item.path)
         {
-            finals.put(&job, state);
+            finals.insert(&job, state);
         }
     }
     if let Some(state) = finals.get(id) {
@@ -74,9 +74,9 @@
     let Some(item) = context.store.get(RequestPriority::Question, &key)? else {
         return Ok(None);
     };
-    let state: Option<FinalRecord> = read(Some(&item.value), &key);
+    let state: Option<FinalRecord> = decode_record(Some(&item.value), &key);
     if let Some(state) = &state {
-        context.finals.lock().put(id, state.clone());
+        context.final_states.lock().insert(id, state.clone());
     }
     Ok(state)
 }
--- a/crates/pulleywood-controller/src/api/peers.rs
+++ b/crates/pulleywood-controller/src/api/peers.rs
@@ -14,7 +14,7 @@
             PeerResponse::Serving(controller.serving(now))
         }
         PeerRequest::NoteCancellations(jobs) => {
-            context.hold_launches(&jobs);
+            context.suspend_launches(&jobs);
             PeerResponse::Accepted
         }
         PeerRequest::BorrowWriteTokens => {
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -106,7 +106,7 @@
         Ok(Err(failed)) if failed.iter().all(|key| key == JOB_BATCH_HEAD) => {
             SubmissionOutcome::Refused(StoreError::Budget(RETRY_AFTER))
         }
-        Ok(Err(_)) => SubmissionOutcome::Known,
+        Ok(Err(_)) => SubmissionOutcome::AlreadyExists,
         Err(e) => SubmissionOutcome::Refused(e),
     }
 }
@@ -159,7 +159,7 @@
             )
         };
         let outcome = if known {
-            SubmissionOutcome::Known
+            SubmissionOutcome::AlreadyExists
         } else {
             accept_alone(context, id.shard(shards), record, head)
         };
@@ -232,7 +232,7 @@
         let head = controller.cached.job_batch_head;
         (known, head, controller.config.shards)
     };
-    remove_and_report(context, waiting, known, || SubmissionOutcome::Known);
+    remove_and_report(context, waiting, known, || SubmissionOutcome::AlreadyExists);
     (head, shards)
 }
 
@@ -302,7 +302,7 @@
         context
             .controller
             .lock()
-            .wrote_job_batch(self.head, self.batch, revision, now);
+            .put_written_job_batch(self.head, self.batch, revision, now);
         context.work_available.notify_all();
         log::debug!("accepted {} jobs in job batch {number}", waiting.len());
         context
@@ -326,6 +326,6 @@
             .filter(|(_, w)| exists(&w.record.spec.id))
             .map(|(number, _)| *number)
             .collect();
-        remove_and_report(context, waiting, known, || SubmissionOutcome::Known);
+        remove_and_report(context, waiting, known, || SubmissionOutcome::AlreadyExists);
     }
 }
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -78,12 +78,12 @@
             Err(e) => return retry_later(&e),
         }
         // Leaders hold its launches back beside the transaction.
-        context.hold_launches(std::slice::from_ref(&id));
-        context.cancelling.post(id.clone());
+        context.suspend_launches(std::slice::from_ref(&id));
+        context.announced_cancellations.post(id.clone());
         match commit_cancellation(context, id.shard(shards), &id) {
             Ok(CancelOutcome::Cancelled(state)) => {
                 log::debug!("cancelled {id}");
-                context.finals.lock().put(&id, state.clone());
+                context.final_states.lock().insert(&id, state.clone());
                 return respond(context, &id, &StoredJob::Final(state));
             }
             Ok(CancelOutcome::Changed) => {}
@@ -131,7 +131,7 @@
     if let Some(reason) = config.never_runs(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
     }
-    let ended = context.finals.lock().get(&spec.id);
+    let ended = context.final_states.lock().get(&spec.id);
     if let Some(state) = ended {
         let stored = StoredJob::Final(state);
         return SubmissionDecision::Respond(respond(context, &spec.id, &stored));
@@ -162,7 +162,7 @@
     let record = context
         .controller
         .lock()
-        .new_job(spec, time_of_day_ms(), now);
+        .new_job_record(spec, time_of_day_ms(), now);
     match commit_alone(context, shard, &record) {
         SubmissionOutcome::Refused(e @ StoreError::Budget(_)) => accept_batched(context, record, e),
         outcome => outcome,
@@ -186,7 +186,7 @@
     let head = {
         let controller = context.controller.lock();
         if controller.is_live(&record.spec.id) {
-            return SubmissionOutcome::Known;
+            return SubmissionOutcome::AlreadyExists;
         }
         controller.cached.job_batch_head.revision
     };
@@ -211,7 +211,7 @@
             };
             Response::cbor(201, &answer)
         }
-        SubmissionOutcome::Known => match lookup(context, &id) {
+        SubmissionOutcome::AlreadyExists => match lookup(context, &id) {
             Ok(StoredJob::Unknown) => Response::later(503, 1),
             Ok(stored) => respond(context, &id, &stored),
             Err(e) => retry_later(&e),
@@ -221,7 +221,7 @@
             log::debug!("refused {id}: {e}");
             if matches!(e, StoreError::Budget(_)) {
                 let now = context.clock.now();
-                context.refused.store(now.0, Ordering::Relaxed);
+                context.last_refusal_ms.store(now.0, Ordering::Relaxed);
             }
             retry_later(&e)
         }
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -76,7 +76,7 @@
     }
 
     fn route(&self, heartbeat: &Heartbeat) -> Route {
-        if !self.controller.is_cached {
+        if !self.controller.cache_loaded {
             return Route::Nobody;
         }
         let cached = &self.controller.cached;
@@ -91,7 +91,7 @@
         if self.led(shard).is_some() && self.controller.may_answer(self.now) {
             return Route::Here(shard);
         }
-        match self.controller.cached.shards.get(&shard) {
+        match self.controller.cached.shard_leaders.get(&shard) {
             Some(holder) if holder.value.member != self.context.controller_id => {
                 self.redirect(&holder.value.member)
             }
@@ -107,7 +107,7 @@
         let shard = controller
             .config
             .shard_for(&heartbeat.machine, &heartbeat.zone);
-        if let Some(holder) = controller.cached.shards.get(&shard)
+        if let Some(holder) = controller.cached.shard_leaders.get(&shard)
             && holder.value.member != self.context.controller_id
             && let Route::Redirect(member) = self.redirect(&holder.value.member)
         {
@@ -116,7 +116,7 @@
         if let Some(shard) = self.shard_to_join(shard) {
             return Route::Register(shard);
         }
-        let mut holders = controller.cached.shards.values();
+        let mut holders = controller.cached.shard_leaders.values();
         match holders.find(|h| h.value.member != self.context.controller_id) {
             Some(holder) => self.redirect(&holder.value.member),
             None => Route::Nobody,
@@ -141,7 +141,7 @@
 
     fn led(&self, shard: ShardId) -> Option<&'a LedShard> {
         let led = self.controller.led_shards.get(&shard);
-        led.filter(|led| led.loaded && !led.leaving)
+        led.filter(|led| led.loaded && !led.handing_over)
     }
 
     /// A controller that is cut off knows old leaders only, and a leader that its peers
@@ -149,8 +149,10 @@
     /// four seconds of its lease for nothing. Without a redirect it tries the next
     /// controller a second later.
     fn redirect(&self, member: &MemberId) -> Route {
-        let heard = self.controller.is_heard(member, self.now, FRESH_PEER);
-        if heard && self.now.since(self.controller.caught_up) < MAX_REDIRECT_CACHE_AGE {
+        let heard = self
+            .controller
+            .has_recent_digest(member, self.now, FRESH_PEER);
+        if heard && self.now.since(self.controller.cache_current_as_of) < MAX_REDIRECT_CACHE_AGE {
             Route::Redirect(member.clone())
         } else {
             Route::Nobody
@@ -172,7 +174,11 @@
         // Its worker obeys another leader and is to look for it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
-                controller.note_fencing_token(&heartbeat.machine, heartbeat.fencing_token, now);
+                controller.note_higher_fencing_token(
+                    &heartbeat.machine,
+                    heartbeat.fencing_token,
+                    now,
+                );
             }
             return Response::later(503, 1);
         }
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::policy::OperatorPolicy;
 use crate::shard::{done_batches, leadership, registration};
-use crate::state::{ControllerContext, ControllerState, Finals};
+use crate::state::{ControllerContext, ControllerState, FinalStateCache};
 use crate::{coordinator, peers, recovery, session_lease, watch};
 use parking_lot::{Condvar, Mutex};
 use pulleywood_protocol::MemberId;
@@ -171,13 +171,13 @@
         work_available: Condvar::new(),
         submissions: Default::default(),
         registrations: Default::default(),
-        cancelling: Default::default(),
+        announced_cancellations: Default::default(),
         linearizable_reads: Default::default(),
         poll_intervals: PollIntervals::new(store_rps),
         digests_sent: AtomicU64::new(0),
-        refused: AtomicU64::new(0),
+        last_refusal_ms: AtomicU64::new(0),
         recovery: policy.recovery,
-        finals: Mutex::new(Finals::default()),
+        final_states: Mutex::new(FinalStateCache::default()),
         settings,
     })
 }
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -91,7 +91,7 @@
         let mut controller = context.controller.lock();
         // While any shard has no leader or an unknown one, its needs are not known
         // either: nothing is judged by their absence.
-        let shards = controller.all_shards(now);
+        let shards = controller.fresh_shard_digests(now);
         let config = Arc::clone(&controller.config);
         let records: BTreeMap<MachineId, MachineRecord> = controller
             .cached
@@ -105,7 +105,7 @@
             shards: &shards,
             list: fresh.then_some(&self.list[..]),
             // Users wait to submit: what lies idle is about to be needed.
-            hold: context.refusing(now) || a_peer_refuses(&controller, now),
+            hold: context.refused_recently(now) || a_peer_refuses(&controller, now),
         };
         drop(controller);
         log::debug!("{}", fleet::summary(&config, &snapshot));
--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -51,7 +51,7 @@
         .iter()
         .map(|(shard, quota)| (*shard, quota.value.clone()))
         .collect();
-    let digests = controller.all_shards(now).into_iter();
+    let digests = controller.fresh_shard_digests(now).into_iter();
     let needs = digests
         .map(|(shard, digest)| (shard, needs(&digest)))
         .collect();
--- a/crates/pulleywood-controller/src/coordinator/requests.rs
+++ b/crates/pulleywood-controller/src/coordinator/requests.rs
@@ -28,7 +28,7 @@
 pub fn ask_leader(context: &Arc<ControllerContext>, shard: ShardId, request: PeerRequest) {
     let leader = {
         let controller = context.controller.lock();
-        let holder = controller.cached.shards.get(&shard);
+        let holder = controller.cached.shard_leaders.get(&shard);
         holder.map(|holder| holder.value.member.clone())
     };
     let Some(leader) = leader else { return };
--- a/crates/pulleywood-controller/src/fencing_token.rs
+++ b/crates/pulleywood-controller/src/fencing_token.rs
@@ -1,6 +1,6 @@
 //! The fencing-token counter in the store.
 
-use crate::state::{ControllerContext, Versioned, read};
+use crate::state::{ControllerContext, Versioned, decode_record};
 use pulleywood_protocol::FencingToken;
 use pulleywood_protocol::record::{FENCING_TOKEN, FencingTokenCounter};
 use pulleywood_transport::{RequestPriority, StoreError};
@@ -14,7 +14,7 @@
         .store
         .get(RequestPriority::ShardLeader, FENCING_TOKEN)?;
     let counter = item.and_then(|item| {
-        let counter = read::<FencingTokenCounter>(Some(&item.value), FENCING_TOKEN)?;
+        let counter = decode_record::<FencingTokenCounter>(Some(&item.value), FENCING_TOKEN)?;
         Some(Versioned::new(counter.last, item.revision))
     });
     Ok(counter.unwrap_or_default())
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -31,7 +31,10 @@
         match client.ask(&digest, RESPONSE_TIMEOUT) {
             Ok(PeerResponse::Serving(serving)) => {
                 let now = context.clock.now();
-                context.controller.lock().confirm(peer, sent, now, &serving);
+                context
+                    .controller
+                    .lock()
+                    .apply_served_shards(peer, sent, now, &serving);
             }
             Ok(_) => {}
             Err(e) => log::debug!("failed to send a digest to {peer}: {e}"),
@@ -68,7 +71,7 @@
 /// effort; runs for the life of the process.
 pub fn notify_cancellations(context: &Arc<ControllerContext>) {
     loop {
-        let jobs = context.cancelling.take_all();
+        let jobs = context.announced_cancellations.take_all();
         for leader in fresh_leaders(context) {
             if let Some(peer) = context.peers.get(&leader)
                 && let Err(e) = peer.ask(
@@ -86,9 +89,9 @@
 fn fresh_leaders(context: &ControllerContext) -> BTreeSet<MemberId> {
     let now = context.clock.now();
     let controller = context.controller.lock();
-    let holders = controller.cached.shards.values();
+    let holders = controller.cached.shard_leaders.values();
     let members = holders.map(|holder| holder.value.member.clone());
     members
-        .filter(|member| controller.is_heard(member, now, FRESH_DIGEST))
+        .filter(|member| controller.has_recent_digest(member, now, FRESH_DIGEST))
         .collect()
 }
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -3,7 +3,7 @@
 
 use super::Recovery;
 use crate::state::{
-    ControllerContext, ControllerState, JobEntry, job_entry, read_job_batch, read_machine_batch,
+    ControllerContext, ControllerState, JobEntry, decode_job_batch, decode_machine_batch, job_entry,
 };
 use crate::watch;
 use pulleywood_protocol::record::Key;
@@ -24,7 +24,7 @@
         self.audited = now;
         let next = {
             let controller = context.controller.lock();
-            if !controller.is_cached || !controller.may_act(now) {
+            if !controller.cache_loaded || !controller.may_act(now) {
                 return Ok(());
             }
             self.audit.next(&*controller)
@@ -82,7 +82,7 @@
     }
 
     fn knows_job(&self, job: &JobId) -> bool {
-        self.cached.jobs.contains_key(job)
+        self.cached.live_jobs.contains_key(job)
     }
 
     fn has_job(&self, shard: ShardId, job: &JobId) -> bool {
@@ -118,7 +118,7 @@
         Missing::JobInView(id) | Missing::Job(_, id) => {
             let mut controller = context.controller.lock();
             controller.take_up_job(id, &finding.item, now);
-            controller.hold_launches(std::slice::from_ref(id), now + VERIFY_TIME);
+            controller.suspend_launches(std::slice::from_ref(id), now + VERIFY_TIME);
             drop(controller);
             verify_job(context, id, &finding.item);
         }
@@ -141,11 +141,11 @@
     tracing::info!("audit: {id} changed meanwhile");
     let now = context.clock.now();
     let mut controller = context.controller.lock();
-    controller.cached.jobs.remove(id);
+    controller.cached.live_jobs.remove(id);
     let after = Revision(item.revision.0.max(controller.cached.store_revision) + 1);
     let config = Arc::clone(&controller.config);
     for led in controller.led_shards.values_mut().filter(|led| led.loaded) {
-        led.job_event(id, &JobEntry::Gone, after, false, now, &config);
+        led.apply_job_entry(id, &JobEntry::Ended, after, false, now, &config);
     }
 }
 
@@ -154,26 +154,26 @@
     fn take_up_job(&mut self, id: &JobId, item: &Item, now: MonotonicTime) {
         let entry = match Key::parse(&item.path) {
             Some(Key::JobBatch(_)) => {
-                let batch = read_job_batch(&item.value, &item.path);
+                let batch = decode_job_batch(&item.value, &item.path);
                 let record = batch.and_then(|b| b.jobs.into_iter().find(|j| j.spec.id == *id));
                 record.map(|r| JobEntry::Batched(Box::new(r)))
             }
             _ => job_entry(item).map(|(_, entry)| entry),
         };
         let Some(entry) = entry else { return };
-        if self.wrote_since(id, item.revision) {
+        if self.has_own_write_since(id, item.revision) {
             return;
         }
-        self.cached.jobs.entry(id.clone()).or_insert(0);
+        self.cached.live_jobs.entry(id.clone()).or_insert(0);
         let config = Arc::clone(&self.config);
         for led in self.led_shards.values_mut().filter(|led| led.loaded) {
-            led.job_event(id, &entry, item.revision, true, now, &config);
+            led.apply_job_entry(id, &entry, item.revision, true, now, &config);
         }
     }
 
     /// A machine that was missing here. An earlier leader may have launched tasks on it.
     fn take_up_machine(&mut self, id: &MachineId, item: &Item, now: MonotonicTime) {
-        let Some(batch) = read_machine_batch(&item.value, &item.path) else {
+        let Some(batch) = decode_machine_batch(&item.value, &item.path) else {
             return;
         };
         let Some(record) = batch.machines.get(id) else {
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -31,12 +31,12 @@
             let mut controller = context.controller.lock();
             let now = began;
             controller
-                .shown_fencing_tokens
+                .higher_fencing_tokens
                 .retain(|_, shown| now.since(shown.at) < SHOWN_TIME);
-            if controller.shown_fencing_tokens.is_empty() || !controller.may_act(now) {
+            if controller.higher_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
-            controller.shown_fencing_tokens.clone()
+            controller.higher_fencing_tokens.clone()
         };
         // The shard that the machine belongs to now decides, not the one it belonged to.
         watch::changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
@@ -60,7 +60,7 @@
                 context
                     .controller
                     .lock()
-                    .shown_fencing_tokens
+                    .higher_fencing_tokens
                     .remove(&machine);
                 Ok(())
             }
@@ -83,7 +83,7 @@
             for (id, shown) in shown.iter().filter(|(_, s)| s.at < began) {
                 match controller.obeys_lost_fencing_token(id, shown.fencing_token) {
                     Some(shard) => behind.push(shard),
-                    None => drop(controller.shown_fencing_tokens.remove(id)),
+                    None => drop(controller.higher_fencing_tokens.remove(id)),
                 }
             }
         }
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -1,7 +1,7 @@
 //! The session lease, which all keys held by this controller are attached to: its shards'
 //! leadership keys and the coordinator lease end with it.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::LeaseId;
 use pulleywood_protocol::record::{COORDINATOR_LEASE, LeaseHolder, shard_leader_key};
 use pulleywood_transport::{RequestPriority, StoreError};
@@ -59,7 +59,7 @@
     if granted.is_some() {
         controller.lease.lease_id = granted;
     }
-    controller.lease.renewed = sent;
+    controller.lease.renewed_at = sent;
     Ok(ttl)
 }
 
@@ -90,7 +90,7 @@
 }
 
 fn wait_until_cached(context: &ControllerContext) {
-    while !context.controller.lock().is_cached {
+    while !context.controller.lock().cache_loaded {
         std::thread::sleep(NOT_CACHED_PAUSE);
     }
 }
@@ -99,7 +99,7 @@
 fn key_of_former_process(context: &ControllerContext) -> Option<String> {
     let controller = context.controller.lock();
     let cached = &controller.cached;
-    let mut shards = cached.shards.iter();
+    let mut shards = cached.shard_leaders.iter();
     let shard = shards.find(|(_, holder)| is_former_process(context, &holder.value));
     shard
         .map(|(shard, _)| shard_leader_key(*shard))
@@ -119,7 +119,7 @@
     let Some(item) = context.store.get(RequestPriority::Lease, key)? else {
         return Ok(());
     };
-    let holder = read::<LeaseHolder>(Some(&item.value), key);
+    let holder = decode_record::<LeaseHolder>(Some(&item.value), key);
     let former = holder.is_some_and(|holder| is_former_process(context, &holder));
     let lease_id: Option<LeaseId> = item.lease_id.filter(|_| former);
     lease_id.map_or(Ok(()), |lease_id| context.store.end(lease_id))
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -8,7 +8,7 @@
 use super::load::load;
 use crate::clock::time_of_day_ms;
 use crate::fencing_token::newest_fencing_token;
-use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, read};
+use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, decode_record};
 use pulleywood_protocol::record::{
     FencingTokenCounter, LeaseHolder, PreviousLeaseHolder, QuotaRecord, previous_leader_key,
     quota_key, shard_leader_key,
@@ -84,7 +84,7 @@
     let key = previous_leader_key(shard);
     let item = context.store.get(RequestPriority::ShardLeader, &key)?;
     Ok(item.map_or_else(Versioned::default, |item| {
-        Versioned::new(read(Some(&item.value), &item.path), item.revision)
+        Versioned::new(decode_record(Some(&item.value), &item.path), item.revision)
     }))
 }
 
@@ -159,7 +159,8 @@
         let key = shard_leader_key(self.shard);
         let item = context.store.get(RequestPriority::ShardLeader, &key)?;
         let ours = item.filter(|item| {
-            read::<LeaseHolder>(Some(&item.value), &item.path).as_ref() == Some(&self.holder)
+            decode_record::<LeaseHolder>(Some(&item.value), &item.path).as_ref()
+                == Some(&self.holder)
         });
         Ok(ours.map_or(AcquireOutcome::NotAcquired, |item| {
             AcquireOutcome::Acquired(item.revision)
@@ -197,16 +198,16 @@
             state.quotas = quota.value.clone();
         }
         let holder = Versioned::new(self.holder, revision);
-        controller.cached.shards.insert(self.shard, holder);
-        controller.cached.free_since.remove(&self.shard);
+        controller.cached.shard_leaders.insert(self.shard, holder);
+        controller.cached.vacant_since.remove(&self.shard);
         let led = LedShard {
             state,
             revision,
             loaded: false,
             deferred_changes: Vec::new(),
-            leaving: false,
+            handing_over: false,
             acquired_at: now,
-            reconciled_at: self.previous.is_none().then_some(revision),
+            reconciled_revision: self.previous.is_none().then_some(revision),
             previous_leader: previous_launches.leader,
         };
         controller.led_shards.insert(self.shard, led);
@@ -249,6 +250,6 @@
 /// The watch may have brought the end of the leadership already, and does not bring it
 /// again.
 fn ended_since(controller: &ControllerState, shard: ShardId, revision: Revision) -> bool {
-    let key = controller.cached.shards.get(&shard);
-    controller.passed(revision) && key.is_none_or(|key| key.revision != revision)
+    let key = controller.cached.shard_leaders.get(&shard);
+    controller.watch_reached(revision) && key.is_none_or(|key| key.revision != revision)
 }
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -66,7 +66,7 @@
             Reply::HigherFencingToken(seen) => {
                 let now = context.clock.now();
                 let mut controller = context.controller.lock();
-                return controller.note_fencing_token(machine, seen, now);
+                return controller.note_higher_fencing_token(machine, seen, now);
             }
             Reply::Ignored => return,
         }
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -135,7 +135,7 @@
 fn prepare_images(context: &ControllerContext) -> Vec<PreparedImages> {
     let controller = context.controller.lock();
     let led = controller.led_shards.iter();
-    led.filter(|(_, led)| led.loaded && !led.leaving)
+    led.filter(|(_, led)| led.loaded && !led.handing_over)
         .filter_map(|(shard, led)| prepare_shard_images(&controller, *shard, led))
         .collect()
 }
@@ -215,18 +215,18 @@
         }
         for job in &batch.jobs {
             match job.over {
-                Some(_) => controller.end_job(&job.id, revision),
-                None => controller.own_record(&job.id, revision),
+                Some(_) => controller.remove_ended_job(&job.id, revision),
+                None => controller.note_own_record(&job.id, revision),
             }
         }
-        controller.left_job_batches(batch.job_batches, revision, now);
+        controller.put_job_batches(batch.job_batches, revision, now);
         drop(controller);
         for job in &batch.jobs {
             let (shard, id, tasks) = (self.shard, &job.id, job.tasks.len());
             match &job.over {
                 Some(state) => {
                     // Its user asks next; the answer needs no read.
-                    context.finals.lock().put(id, state.clone());
+                    context.final_states.lock().insert(id, state.clone());
                     log::debug!("recorded {tasks} tasks of {id} in shard {shard}, all of them");
                 }
                 None => log::debug!("recorded {tasks} tasks of {id} in shard {shard}"),
@@ -273,7 +273,7 @@
     let mut controller = context.controller.lock();
     let config = Arc::clone(&controller.config);
     // The watch may have brought its end while it was read.
-    let known = controller.cached.jobs.contains_key(id);
+    let known = controller.cached.live_jobs.contains_key(id);
     let led = controller.led_shards.get_mut(&shard);
     let Some(led) = led.filter(|led| led.revision == shard_revision) else {
         return Ok(());
@@ -285,7 +285,7 @@
             && known
         {
             live = true;
-            led.job_event(id, &entry, item.revision, false, now, &config);
+            led.apply_job_entry(id, &entry, item.revision, false, now, &config);
         }
     }
     if !live {
--- a/crates/pulleywood-controller/src/shard/hand_over.rs
+++ b/crates/pulleywood-controller/src/shard/hand_over.rs
@@ -29,7 +29,7 @@
         }
         Err(_) => {
             if let Some(led) = controller.led_shards.get_mut(&shard) {
-                led.leaving = false;
+                led.handing_over = false;
             }
         }
     }
@@ -54,7 +54,7 @@
 fn stop_launches(context: &ControllerContext, shard: ShardId) -> Option<Revision> {
     let mut controller = context.controller.lock();
     let led = controller.led_shards.get_mut(&shard)?;
-    led.leaving = true;
+    led.handing_over = true;
     Some(led.revision)
 }
 
@@ -72,6 +72,6 @@
 }
 
 fn note_vacant(controller: &mut ControllerState, shard: ShardId, now: MonotonicTime) {
-    controller.cached.shards.remove(&shard);
-    controller.cached.free_since.insert(shard, now);
+    controller.cached.shard_leaders.remove(&shard);
+    controller.cached.vacant_since.insert(shard, now);
 }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -63,7 +63,7 @@
 /// fencing token: all but one would be refused. They go one after the other.
 fn stagger_first_start(context: &ControllerContext) {
     const TURN: Duration = Duration::from_millis(40);
-    if context.controller.lock().cached.shards.is_empty() {
+    if context.controller.lock().cached.shard_leaders.is_empty() {
         let peers = context.peers.keys();
         let earlier = peers.filter(|peer| **peer < context.controller_id).count();
         std::thread::sleep(TURN * earlier as u32);
@@ -72,7 +72,8 @@
 
 fn due_step(context: &ControllerContext, controller: &ControllerState) -> LeadershipStep {
     let now = context.clock.now();
-    if !controller.is_cached || !controller.may_act(now) || controller.config.flavors.is_empty() {
+    if !controller.cache_loaded || !controller.may_act(now) || controller.config.flavors.is_empty()
+    {
         return LeadershipStep::Wait;
     }
     let Some(lease_id) = controller.lease.lease_id else {
@@ -141,11 +142,11 @@
     now: MonotonicTime,
 ) -> ShardKey {
     let cached = &controller.cached;
-    let holder = match cached.shards.get(&shard) {
+    let holder = match cached.shard_leaders.get(&shard) {
         Some(key) if context.is_this_process(&key.value) => KeyHolder::ThisProcess(key.revision),
         Some(_) => KeyHolder::Another,
         None => {
-            let since = cached.free_since.get(&shard);
+            let since = cached.vacant_since.get(&shard);
             KeyHolder::Nobody(since.map_or(Duration::ZERO, |at| now.since(*at)))
         }
     };
@@ -159,7 +160,7 @@
 fn led_here(shard: ShardId, led: &LedShard) -> Led {
     Led {
         shard,
-        stays: led.loaded && !led.leaving,
-        unrecorded: led.loaded && led.reconciled_at.is_none() && !led.state.rebuilding(),
+        stays: led.loaded && !led.handing_over,
+        unrecorded: led.loaded && led.reconciled_revision.is_none() && !led.state.rebuilding(),
     }
 }
--- a/crates/pulleywood-controller/src/shard/load.rs
+++ b/crates/pulleywood-controller/src/shard/load.rs
@@ -3,8 +3,8 @@
 
 use super::announce::{Announcement, announce_fencing_token};
 use crate::state::{
-    CachedState, ControllerContext, DeferredChange, JobEntry, LedShard, job_entry, read_job_batch,
-    read_machine_batch,
+    CachedState, ControllerContext, DeferredChange, JobEntry, LedShard, decode_job_batch,
+    decode_machine_batch, job_entry,
 };
 use pulleywood_protocol::record::{JOB_BATCHES, JOBS, Key, MACHINE_BATCHES};
 use pulleywood_protocol::store::Item;
@@ -105,7 +105,7 @@
     // Continuations sort after their job's record.
     for item in &records.jobs {
         if let Some((id, entry)) = job_entry(item) {
-            led.job_event(&id, &entry, item.revision, true, now, &config);
+            led.apply_job_entry(&id, &entry, item.revision, true, now, &config);
         }
     }
     led.loaded = true;
@@ -132,7 +132,7 @@
     let Some(Key::MachineBatch(n)) = Key::parse(&item.path) else {
         return;
     };
-    let Some(batch) = read_machine_batch(&item.value, &item.path) else {
+    let Some(batch) = decode_machine_batch(&item.value, &item.path) else {
         led.state.unreadable_machines = true;
         return;
     };
@@ -157,15 +157,15 @@
 }
 
 fn put_job_batch(led: &mut LedShard, item: &Item, now: MonotonicTime, config: &Config) {
-    let batch = read_job_batch(&item.value, &item.path).unwrap_or_default();
+    let batch = decode_job_batch(&item.value, &item.path).unwrap_or_default();
     for id in batch.unreadable_ids() {
         let entry = JobEntry::Unreadable;
-        led.job_event(&id, &entry, item.revision, true, now, config);
+        led.apply_job_entry(&id, &entry, item.revision, true, now, config);
     }
     for record in batch.jobs {
         let id = record.spec.id.clone();
         let entry = JobEntry::Batched(Box::new(record));
-        led.job_event(&id, &entry, item.revision, true, now, config);
+        led.apply_job_entry(&id, &entry, item.revision, true, now, config);
     }
 }
 
@@ -178,7 +178,7 @@
             revision,
         } = change;
         if revision.0 > read_at {
-            led.job_event(&id, &entry, revision, false, now, config);
+            led.apply_job_entry(&id, &entry, revision, false, now, config);
         }
     }
 }
--- a/crates/pulleywood-controller/src/shard/reconciled.rs
+++ b/crates/pulleywood-controller/src/shard/reconciled.rs
@@ -1,6 +1,6 @@
 //! Recording that a shard's machines are all accounted for.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::record::{PreviousLeaseHolder, previous_leader_key, shard_leader_key};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{FencingToken, Revision, ShardId};
@@ -37,7 +37,7 @@
     let Some(item) = context.store.get(RequestPriority::ShardLeader, &key)? else {
         return Ok(None);
     };
-    let Some(stored) = read::<PreviousLeaseHolder>(Some(&item.value), &key) else {
+    let Some(stored) = decode_record::<PreviousLeaseHolder>(Some(&item.value), &key) else {
         return Ok(None);
     };
     let fencing_token = stored.holder.fencing_token;
@@ -69,7 +69,7 @@
         let mut controller = context.controller.lock();
         let led = controller.led_shards.get_mut(&self.shard);
         if let Some(led) = led.filter(|led| led.state.fencing_token == self.fencing_token) {
-            led.reconciled_at = Some(revision);
+            led.reconciled_revision = Some(revision);
         }
     }
 }
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -83,7 +83,7 @@
         id: heartbeat.machine.clone(),
         shard,
         record,
-        seen: heartbeat.fencing_token,
+        highest_seen_token: heartbeat.fencing_token,
     };
     let registrations = &context.registrations;
     match registrations.join(unregistered, REGISTRATION_TIMEOUT, |_| true) {
@@ -176,9 +176,13 @@
         let controller = context.controller.lock();
         let ahead = |machine: &&UnregisteredMachine| {
             let led = controller.led_shards.get(&machine.shard);
-            led.is_some_and(|led| machine.seen >= led.state.fencing_token)
+            led.is_some_and(|led| machine.highest_seen_token >= led.state.fencing_token)
         };
-        waiting.values().filter(ahead).map(|w| w.seen).max()
+        waiting
+            .values()
+            .filter(ahead)
+            .map(|w| w.highest_seen_token)
+            .max()
     };
     let Some(seen) = seen else {
         return Ok(Versioned::default());
@@ -289,12 +293,12 @@
     now: MonotonicTime,
 ) -> Option<Versioned<MachineRecord>> {
     let led = controller.led_shards.get(&machine.shard)?;
-    if !led.loaded || led.leaving || !controller.may_act(now) {
+    if !led.loaded || led.handing_over || !controller.may_act(now) {
         return None;
     }
-    let fencing_token = if machine.seen < led.state.fencing_token {
+    let fencing_token = if machine.highest_seen_token < led.state.fencing_token {
         led.state.fencing_token
-    } else if fresh > machine.seen {
+    } else if fresh > machine.highest_seen_token {
         fresh
     } else {
         // The shard changed its leader since the fresh token was drawn.
@@ -333,7 +337,7 @@
         context
             .controller
             .lock()
-            .wrote_machine_batch(self.head, batch, revision, now);
+            .put_written_machine_batch(self.head, batch, revision, now);
         let (registered, left): (Vec<_>, Vec<_>) = waiting
             .into_iter()
             .partition(|(_, machine)| self.registered.contains(&machine.id));
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -3,7 +3,7 @@
 
 use super::RequestOutcome;
 use crate::fencing_token::newest_fencing_token;
-use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, read_machine_batch};
+use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, decode_machine_batch};
 use pulleywood_protocol::machine_batch::MachineBatchAfter;
 use pulleywood_protocol::record::{
     FencingTokenCounter, MachineRecord, machine_batch_key, shard_leader_key,
@@ -162,7 +162,7 @@
 }
 
 fn may_leave(led: &LedShard, id: &MachineId) -> bool {
-    led.loaded && !led.leaving && led.state.may_leave(id)
+    led.loaded && !led.handing_over && led.state.may_leave(id)
 }
 
 /// Marks machines as leaving; their records once they have left.
@@ -282,7 +282,7 @@
         Ok(None) => return FenceOutcome::Done,
         Err(_) => return FenceOutcome::Retry,
     };
-    let Some(batch) = read_machine_batch(&item.value, &key) else {
+    let Some(batch) = decode_machine_batch(&item.value, &key) else {
         return FenceOutcome::Done;
     };
     let still_here = |record: &MachineRecord| record.shard == shard && !record.retiring;
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -72,7 +72,7 @@
     let controller = &mut *guard;
     let config = Arc::clone(&controller.config);
     let led = controller.led_shards.get_mut(&from);
-    let Some(led) = led.filter(|led| led.loaded && !led.leaving) else {
+    let Some(led) = led.filter(|led| led.loaded && !led.handing_over) else {
         return Vec::new();
     };
     let offers = led.state.offer(like, &config).into_iter();
@@ -133,7 +133,7 @@
         let mut controller = context.controller.lock();
         if let Ok(Outcome::Applied(revision)) = outcome {
             controller.put_job(&self.record, revision, now);
-            controller.left_job_batches(self.job_batches, revision, now);
+            controller.put_job_batches(self.job_batches, revision, now);
             return RequestOutcome::Accepted;
         }
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
--- a/crates/pulleywood-controller/src/state/cached_state.rs
+++ b/crates/pulleywood-controller/src/state/cached_state.rs
@@ -19,15 +19,15 @@
     /// Holder of the coordinator lease.
     pub coordinator_lease: Option<Versioned<LeaseHolder>>,
     /// Leaders of the shards.
-    pub shards: BTreeMap<ShardId, Versioned<LeaseHolder>>,
+    pub shard_leaders: BTreeMap<ShardId, Versioned<LeaseHolder>>,
     /// Since when a shard has had no leader, as far as this controller knows.
-    pub free_since: BTreeMap<ShardId, MonotonicTime>,
+    pub vacant_since: BTreeMap<ShardId, MonotonicTime>,
     /// Shards' quotas.
     pub quotas: BTreeMap<ShardId, Versioned<QuotaRecord>>,
     /// All machines.
     pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
     /// All live jobs, and how many of their tasks are recorded as done.
-    pub jobs: BTreeMap<JobId, u32>,
+    pub live_jobs: BTreeMap<JobId, u32>,
     /// Machines whose records cannot be read: no leader commands them.
     pub unreadable_machines: BTreeSet<MachineId>,
     /// Stored job batches.
@@ -40,9 +40,9 @@
     pub job_batch_head: Versioned<BatchHead>,
     /// Jobs that left their job batches by transactions not yet applied in full: they
     /// have a record of their own, or are final.
-    pub(super) left_batches: Vec<(JobId, Revision)>,
+    pub(super) removed_from_batches: Vec<(JobId, Revision)>,
     /// Live jobs that have a record of their own.
-    pub(super) own_records: BTreeSet<JobId>,
+    pub(super) jobs_with_own_record: BTreeSet<JobId>,
 }
 
 impl CachedState {
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -1,7 +1,7 @@
 //! Everything the threads of one controller share.
 
 use super::queues::{RegistrationQueue, SubmissionQueue};
-use super::{ControllerState, Finals, LinearizableReads};
+use super::{ControllerState, FinalStateCache, LinearizableReads};
 use crate::batch_queue::Mailbox;
 use crate::clock::Clock;
 use parking_lot::{Condvar, Mutex};
@@ -42,7 +42,7 @@
     /// Machines that wait for a machine batch.
     pub registrations: RegistrationQueue,
     /// Jobs being cancelled whose leaders are to be notified.
-    pub cancelling: Mailbox<JobId>,
+    pub announced_cancellations: Mailbox<JobId>,
     /// Users' queries that wait for a read begun after they came.
     pub linearizable_reads: LinearizableReads,
     /// Sequence number of the last digest sent.
@@ -50,11 +50,11 @@
     /// Pauses between requests to the store for changes.
     pub poll_intervals: PollIntervals,
     /// When a submission was last refused for lack of write tokens, in ms.
-    pub refused: AtomicU64,
+    pub last_refusal_ms: AtomicU64,
     /// Policy of the recovery subsystem, if it is switched on.
     pub recovery: Option<RecoveryPolicy>,
     /// Final states written or read lately, kept for later polls.
-    pub finals: Mutex<Finals>,
+    pub final_states: Mutex<FinalStateCache>,
 }
 
 impl ControllerContext {
@@ -73,17 +73,17 @@
     }
 
     /// A submission was refused lately for lack of write tokens.
-    pub fn refusing(&self, now: MonotonicTime) -> bool {
-        let at = MonotonicTime(self.refused.load(Ordering::Relaxed));
+    pub fn refused_recently(&self, now: MonotonicTime) -> bool {
+        let at = MonotonicTime(self.last_refusal_ms.load(Ordering::Relaxed));
         at > MonotonicTime(0) && now.since(at) < Duration::from_secs(5)
     }
 
     /// Holds launches of jobs back that are being cancelled, as long as this controller
     /// may launch without having heard more of them.
-    pub fn hold_launches(&self, jobs: &[JobId]) {
+    pub fn suspend_launches(&self, jobs: &[JobId]) {
         let mut controller = self.controller.lock();
         let until = self.clock.now() + controller.lease_ttl();
-        controller.hold_launches(jobs, until);
+        controller.suspend_launches(jobs, until);
     }
 
     /// Puts machine batches as a transaction of this controller wrote them.
@@ -103,13 +103,13 @@
             boot: self.boot,
             seq: self.digests_sent.fetch_add(1, Ordering::Relaxed) + 1,
             state_ok,
-            fit: controller.is_cached
+            fit: controller.cache_loaded
                 && controller.lease.lease_id.is_some()
                 && state_ok
                 && now >= controller.acquire_backoff.until,
-            refusing: self.refusing(now),
+            refusing: self.refused_recently(now),
             serving: controller.serving(now),
-            shards: controller.shard_digests(now),
+            shards: controller.led_shard_digests(now),
         }
     }
 }
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -56,7 +56,7 @@
 
 /// Work of a job that was accepted here lately.
 struct AcceptedWork {
-    at: MonotonicTime,
+    accepted_at: MonotonicTime,
     shard: ShardId,
     /// As [`shard_selection::size`] measures it.
     size: f64,
@@ -69,11 +69,11 @@
     /// Copy of the watched keys.
     pub cached: CachedState,
     /// The cached state has been read in full at least once.
-    pub is_cached: bool,
+    pub cache_loaded: bool,
     /// The session lease.
     pub lease: SessionLease,
     /// The cached state contains every change committed before this time.
-    pub caught_up: MonotonicTime,
+    pub cache_current_as_of: MonotonicTime,
     /// Shards led by this controller.
     pub led_shards: BTreeMap<ShardId, LedShard>,
     /// Newest digest of each peer.
@@ -86,15 +86,15 @@
     /// to another shard and would then run in both.
     pub own_writes: BTreeMap<JobId, Revision>,
     /// Fencing tokens above their shard's that machines of led shards showed.
-    pub shown_fencing_tokens: BTreeMap<MachineId, Shown>,
+    pub higher_fencing_tokens: BTreeMap<MachineId, Shown>,
     /// Machine types that waiting work of all shards could use lately.
-    pub(super) choices: MachineTypeDemand,
+    pub(super) machine_type_demand: MachineTypeDemand,
     /// Boot numbers of peers' processes that newer ones have replaced.
     pub(super) former_boots: VecDeque<u64>,
     /// Digests of the led shards.
     pub(super) own_digests: OwnDigests,
     /// Work accepted here lately, which digests do not show yet.
-    accepted_lately: Vec<AcceptedWork>,
+    recently_accepted: Vec<AcceptedWork>,
 }
 
 impl ControllerState {
@@ -103,18 +103,18 @@
         Self {
             config: Arc::new(config),
             cached: CachedState::default(),
-            is_cached: false,
+            cache_loaded: false,
             lease: SessionLease::default(),
-            caught_up: MonotonicTime::default(),
+            cache_current_as_of: MonotonicTime::default(),
             led_shards: BTreeMap::new(),
             digests: BTreeMap::new(),
             acquire_backoff: AcquireBackoff::default(),
             own_writes: BTreeMap::new(),
-            shown_fencing_tokens: BTreeMap::new(),
-            choices: MachineTypeDemand::default(),
+            higher_fencing_tokens: BTreeMap::new(),
+            machine_type_demand: MachineTypeDemand::default(),
             former_boots: VecDeque::new(),
             own_digests: OwnDigests::default(),
-            accepted_lately: Vec::new(),
+            recently_accepted: Vec::new(),
         }
     }
 
@@ -127,7 +127,7 @@
     /// less drift and margin, so that it lies before the store's.
     pub fn lease_end(&self) -> MonotonicTime {
         match self.lease.lease_id {
-            Some(_) => self.lease.renewed + surely_within(self.lease_ttl()),
+            Some(_) => self.lease.renewed_at + surely_within(self.lease_ttl()),
             None => MonotonicTime::default(),
         }
     }
@@ -141,14 +141,14 @@
     /// older one, as when the store refuses this controller alone, may lack
     /// cancellations that were confirmed to users.
     pub fn may_launch(&self, now: MonotonicTime) -> bool {
-        self.may_act(now) && now.since(self.caught_up) < MAX_LAUNCH_CACHE_AGE
+        self.may_act(now) && now.since(self.cache_current_as_of) < MAX_LAUNCH_CACHE_AGE
     }
 
     /// Workers may be answered: a cancellation confirmed elsewhere since the last
     /// contact is still obeyed in time, as workers' leases expire before then.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
-        let contact = self.lease.renewed.min(self.caught_up);
-        self.is_cached && now < contact + self.config.answer_span()
+        let contact = self.lease.renewed_at.min(self.cache_current_as_of);
+        self.cache_loaded && now < contact + self.config.answer_span()
     }
 
     /// Shards that workers are answered for, with their fencing tokens.
@@ -176,7 +176,7 @@
     }
 
     /// Holds launches of jobs back until a time.
-    pub fn hold_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
+    pub fn suspend_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
         for led in self.led_shards.values_mut() {
             for id in jobs {
                 led.state.cancelling(id, until);
@@ -185,7 +185,7 @@
     }
 
     /// A machine of a led shard showed a fencing token above the shard's.
-    pub fn note_fencing_token(
+    pub fn note_higher_fencing_token(
         &mut self,
         machine: &MachineId,
         fencing_token: FencingToken,
@@ -195,26 +195,26 @@
             fencing_token,
             at: now,
         };
-        self.shown_fencing_tokens.insert(machine.clone(), shown);
+        self.higher_fencing_tokens.insert(machine.clone(), shown);
     }
 
     /// A job is live.
     pub fn is_live(&self, id: &JobId) -> bool {
-        self.cached.jobs.contains_key(id)
+        self.cached.live_jobs.contains_key(id)
     }
 
     /// The peer's digest was received less than this long ago.
-    pub fn is_heard(&self, peer: &MemberId, now: MonotonicTime, age: Duration) -> bool {
+    pub fn has_recent_digest(&self, peer: &MemberId, now: MonotonicTime, age: Duration) -> bool {
         let digest = self.digests.get(peer);
         digest.is_some_and(|digest| digest.is_fresh(now, age))
     }
 
     /// The record of a new job, with the shards that are to run its tasks.
-    pub fn new_job(&mut self, spec: JobSpec, at_ms: u64, now: MonotonicTime) -> JobRecord {
+    pub fn new_job_record(&mut self, spec: JobSpec, at_ms: u64, now: MonotonicTime) -> JobRecord {
         let config = Arc::clone(&self.config);
-        let accepted = self.accepted_by_shard(now);
-        let mut shards = self.all_shards(now);
-        shards.retain(|shard, _| self.cached.shards.contains_key(shard));
+        let accepted = self.recently_accepted_by_shard(now);
+        let mut shards = self.fresh_shard_digests(now);
+        shards.retain(|shard, _| self.cached.shard_leaders.contains_key(shard));
         let machines = &self.cached.machines;
         let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
@@ -225,22 +225,22 @@
             done: String::new(),
         };
         shard_selection::spread(&config, &mut record, &shards, machines, &accepted);
-        self.note_accepted(&config, &record, now);
+        self.note_accepted_job(&config, &record, now);
         record
     }
 
     /// Size of the work accepted here lately, by shard.
-    fn accepted_by_shard(&mut self, now: MonotonicTime) -> BTreeMap<ShardId, f64> {
-        self.accepted_lately
-            .retain(|work| now.since(work.at) < ACCEPTED_LATELY);
+    fn recently_accepted_by_shard(&mut self, now: MonotonicTime) -> BTreeMap<ShardId, f64> {
+        self.recently_accepted
+            .retain(|work| now.since(work.accepted_at) < ACCEPTED_LATELY);
         let mut by_shard: BTreeMap<ShardId, f64> = BTreeMap::new();
-        for work in &self.accepted_lately {
+        for work in &self.recently_accepted {
             *by_shard.entry(work.shard).or_default() += work.size;
         }
         by_shard
     }
 
-    fn note_accepted(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
+    fn note_accepted_job(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
         let size = shard_selection::size(config, &record.spec);
         let one_task = size / f64::from(record.spec.tasks.max(1));
         let mut rest = size;
@@ -248,14 +248,14 @@
             let tasks = record.transferred_tasks(transfer).len();
             let size = one_task * f64::from(tasks);
             rest -= size;
-            self.accepted_lately.push(AcceptedWork {
-                at: now,
+            self.recently_accepted.push(AcceptedWork {
+                accepted_at: now,
                 shard: transfer.shard,
                 size,
             });
         }
-        self.accepted_lately.push(AcceptedWork {
-            at: now,
+        self.recently_accepted.push(AcceptedWork {
+            accepted_at: now,
             shard: record.shard,
             size: rest,
         });
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -19,7 +19,7 @@
 impl ControllerState {
     /// Digests of the led shards, kept for some tenths of a second: they go to every peer,
     /// every submission needs them, and making one reads every machine of the shard.
-    pub fn shard_digests(&mut self, now: MonotonicTime) -> Vec<Arc<ShardDigest>> {
+    pub fn led_shard_digests(&mut self, now: MonotonicTime) -> Vec<Arc<ShardDigest>> {
         let kept = &self.own_digests;
         let loaded = self
             .led_shards
@@ -31,7 +31,7 @@
         {
             return kept.digests.clone();
         }
-        self.share_choices(now);
+        self.update_machine_type_demand(now);
         let loaded = self.led_shards.values().filter(|led| led.loaded);
         let digests = loaded.map(|led| Arc::new(led.state.digest(now, &self.config)));
         self.own_digests = OwnDigests {
@@ -43,7 +43,7 @@
 
     /// Updates each shard's state with the machine types that waiting work may use, here
     /// and in other shards.
-    pub(super) fn share_choices(&mut self, now: MonotonicTime) {
+    pub(super) fn update_machine_type_demand(&mut self, now: MonotonicTime) {
         if self.config.flavors.len() < 2 {
             return;
         }
@@ -52,24 +52,27 @@
         let fresh = fresh.filter(|d| d.is_fresh(now, FRESH_DIGEST));
         let shards = fresh.flat_map(|d| &d.digest.shards);
         for demand in shards.flat_map(|shard| &shard.demand) {
-            self.choices
+            self.machine_type_demand
                 .note(machine_types::of_demand(config, demand), now);
         }
         for led in self.led_shards.values() {
             let jobs = led.state.jobs.values();
             for job in jobs.filter(|j| !j.waiting.is_empty()) {
-                self.choices
+                self.machine_type_demand
                     .note(machine_types::of_job(config, &job.spec), now);
             }
         }
-        self.choices.forget(now);
+        self.machine_type_demand.forget(now);
         for led in self.led_shards.values_mut() {
-            led.state.choices.clone_from(&self.choices);
+            led.state.choices.clone_from(&self.machine_type_demand);
         }
     }
 
     /// All fresh digests of led shards, this controller's included.
-    pub fn all_shards(&mut self, now: MonotonicTime) -> BTreeMap<ShardId, Arc<ShardDigest>> {
+    pub fn fresh_shard_digests(
+        &mut self,
+        now: MonotonicTime,
+    ) -> BTreeMap<ShardId, Arc<ShardDigest>> {
         let mut all: BTreeMap<ShardId, Arc<ShardDigest>> = self
             .digests
             .values()
@@ -77,7 +80,11 @@
             .flat_map(|d| d.digest.shards.iter().cloned())
             .map(|p| (p.shard, p))
             .collect();
-        all.extend(self.shard_digests(now).into_iter().map(|p| (p.shard, p)));
+        all.extend(
+            self.led_shard_digests(now)
+                .into_iter()
+                .map(|p| (p.shard, p)),
+        );
         all
     }
 
@@ -113,14 +120,14 @@
         };
         self.digests
             .insert(received.digest.member.clone(), received);
-        self.share_usage();
+        self.update_usage_by_other_shards();
     }
 
     /// A peer said which shards it serves, when asked at `sent` or later. A previous leader
     /// that no longer answers workers with its fencing token, or whose process has ended,
     /// has answered none since: their leases expire within a lease from now. Its digests do
     /// not show that: one from before it led the shard says the same, and may come late.
-    pub fn confirm(
+    pub fn apply_served_shards(
         &mut self,
         peer: &MemberId,
         sent: MonotonicTime,
@@ -142,7 +149,7 @@
     }
 
     /// Updates each shard's state with what other shards use.
-    pub(super) fn share_usage(&mut self) {
+    pub(super) fn update_usage_by_other_shards(&mut self) {
         let mut elsewhere: BTreeMap<String, pulleywood_protocol::record::Slots> = BTreeMap::new();
         for ReceivedDigest { digest, .. } in self.digests.values() {
             for shard in digest
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -1,7 +1,8 @@
 //! Changes of stored records that the watch brings.
 
 use super::{
-    ControllerState, DeferredChange, JobEntry, Versioned, read, read_job_batch, read_machine_batch,
+    ControllerState, DeferredChange, JobEntry, Versioned, decode_job_batch, decode_machine_batch,
+    decode_record,
 };
 use pulleywood_protocol::job_batch::{BatchHead, JobBatchRecord};
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
@@ -24,14 +25,14 @@
 impl Change<'_> {
     /// The record written, if there is one and it can be read.
     fn read<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
-        read(self.value, self.path)
+        decode_record(self.value, self.path)
     }
 
     /// The entry of a job whose record (chunk 0) or continuation changed.
     fn job_entry(&self, chunk: u32) -> Option<JobEntry> {
         match (self.value, chunk) {
-            (Some(value), _) => JobEntry::read(chunk, value, self.path),
-            (None, 0) => Some(JobEntry::Gone),
+            (Some(value), _) => JobEntry::decode(chunk, value, self.path),
+            (None, 0) => Some(JobEntry::Ended),
             (None, _) => None,
         }
     }
@@ -47,7 +48,7 @@
 
 impl ControllerState {
     /// Applies one watched change.
-    pub fn event(&mut self, event: Event, now: MonotonicTime) {
+    pub fn apply_event(&mut self, event: Event, now: MonotonicTime) {
         let (path, written) = match (&event.write, &event.delete) {
             (Some(path), _) => (path.clone(), true),
             (None, Some(path)) => (path.clone(), false),
@@ -98,16 +99,16 @@
 
     fn shard_leader_changed(&mut self, shard: ShardId, change: &Change<'_>) {
         let holder = change.read::<LeaseHolder>();
-        self.lost_since(shard, change.revision);
+        self.remove_lost_shard(shard, change.revision);
         match holder {
             Some(holder) => {
-                self.cached.free_since.remove(&shard);
+                self.cached.vacant_since.remove(&shard);
                 let holder = Versioned::new(holder, change.revision);
-                self.cached.shards.insert(shard, holder);
+                self.cached.shard_leaders.insert(shard, holder);
             }
             None => {
-                self.cached.shards.remove(&shard);
-                self.cached.free_since.entry(shard).or_insert(change.now);
+                self.cached.shard_leaders.remove(&shard);
+                self.cached.vacant_since.entry(shard).or_insert(change.now);
             }
         }
     }
@@ -122,7 +123,7 @@
         match change.value {
             None => self.put_machine_batch(n, None, change.revision, change.now),
             Some(value) => {
-                if let Some(record) = read_machine_batch(value, change.path) {
+                if let Some(record) = decode_machine_batch(value, change.path) {
                     self.put_machine_batch(n, Some(record), change.revision, change.now);
                 }
             }
@@ -133,27 +134,27 @@
         let Some(entry) = change.job_entry(chunk) else {
             return;
         };
-        if !self.wrote_since(id, change.revision) {
+        if !self.has_own_write_since(id, change.revision) {
             self.cache_job_entry(id, &entry);
         }
-        self.notify_shards(id, &entry, change.revision, change.now);
+        self.apply_to_led_shards(id, &entry, change.revision, change.now);
     }
 
     fn cache_job_entry(&mut self, id: &JobId, entry: &JobEntry) {
         match entry {
-            JobEntry::Gone => {
-                self.cached.jobs.remove(id);
-                self.cached.own_records.remove(id);
+            JobEntry::Ended => {
+                self.cached.live_jobs.remove(id);
+                self.cached.jobs_with_own_record.remove(id);
             }
             JobEntry::Unreadable => {
-                self.cached.own_records.insert(id.clone());
-                self.cached.jobs.entry(id.clone()).or_insert(0);
+                self.cached.jobs_with_own_record.insert(id.clone());
+                self.cached.live_jobs.entry(id.clone()).or_insert(0);
             }
             JobEntry::Record(record) => {
-                self.cached.own_records.insert(id.clone());
+                self.cached.jobs_with_own_record.insert(id.clone());
                 let mut done = TaskSet::new();
                 done.add_chunk(&record.done, 0, self.config.chunk, record.spec.tasks);
-                self.cached.jobs.insert(id.clone(), done.len());
+                self.cached.live_jobs.insert(id.clone(), done.len());
             }
             JobEntry::Batched(_) | JobEntry::Chunk(..) => {}
         }
@@ -163,7 +164,7 @@
         match change.value {
             None => self.put_job_batch(n, None, change.revision, change.now),
             Some(value) => {
-                if let Some(record) = read_job_batch(value, change.path) {
+                if let Some(record) = decode_job_batch(value, change.path) {
                     self.put_job_batch(n, Some(record), change.revision, change.now);
                 }
             }
@@ -172,7 +173,7 @@
 
     /// Applies a change of a job to the led shards, or defers it for those that are
     /// still being loaded.
-    pub(super) fn notify_shards(
+    pub(super) fn apply_to_led_shards(
         &mut self,
         id: &JobId,
         entry: &JobEntry,
@@ -181,13 +182,13 @@
     ) {
         let config = Arc::clone(&self.config);
         // Shards that are still being loaded do not know of own transactions.
-        let known = self.wrote_since(id, revision);
+        let known = self.has_own_write_since(id, revision);
         for led in self.led_shards.values_mut() {
             if led.loaded && known {
                 continue;
             }
             if led.loaded {
-                led.job_event(id, entry, revision, false, now, &config);
+                led.apply_job_entry(id, entry, revision, false, now, &config);
             } else {
                 led.deferred_changes.push(DeferredChange {
                     id: id.clone(),
@@ -208,19 +209,19 @@
     ) {
         let unreadable: Vec<JobId> = record.iter().flat_map(|r| r.unreadable_ids()).collect();
         for id in unreadable {
-            self.cached.jobs.entry(id.clone()).or_insert(0);
-            self.notify_shards(&id, &JobEntry::Unreadable, revision, now);
+            self.cached.live_jobs.entry(id.clone()).or_insert(0);
+            self.apply_to_led_shards(&id, &JobEntry::Unreadable, revision, now);
         }
         let (new, left) = self.cached.job_batches.put(n, record, revision);
         for record in new {
             let id = record.spec.id.clone();
-            if !self.wrote_since(&id, revision) {
-                self.cached.jobs.entry(id.clone()).or_insert(0);
+            if !self.has_own_write_since(&id, revision) {
+                self.cached.live_jobs.entry(id.clone()).or_insert(0);
             }
-            self.notify_shards(&id, &JobEntry::Batched(Box::new(record)), revision, now);
+            self.apply_to_led_shards(&id, &JobEntry::Batched(Box::new(record)), revision, now);
         }
         self.cached
-            .left_batches
+            .removed_from_batches
             .extend(left.into_iter().map(|id| (id, revision)));
     }
 
@@ -228,24 +229,25 @@
     /// and has no record of its own is final. Its record may come before or after the
     /// job batch's change, though both are of one transaction.
     pub fn apply_job_batches(&mut self, now: MonotonicTime) {
-        for (id, revision) in std::mem::take(&mut self.cached.left_batches) {
-            if self.cached.own_records.contains(&id) || self.cached.job_batches.find(&id).is_some()
+        for (id, revision) in std::mem::take(&mut self.cached.removed_from_batches) {
+            if self.cached.jobs_with_own_record.contains(&id)
+                || self.cached.job_batches.find(&id).is_some()
             {
                 continue;
             }
-            self.cached.jobs.remove(&id);
-            self.notify_shards(&id, &JobEntry::Gone, revision, now);
+            self.cached.live_jobs.remove(&id);
+            self.apply_to_led_shards(&id, &JobEntry::Ended, revision, now);
         }
     }
 
     /// A shard's leadership key changed after it was acquired here: it is no longer led.
-    pub(super) fn lost_since(&mut self, shard: ShardId, revision: Revision) {
+    pub(super) fn remove_lost_shard(&mut self, shard: ShardId, revision: Revision) {
         self.led_shards
             .retain(|p, led| *p != shard || led.revision >= revision);
     }
 
     /// The cached state is complete up to this revision.
-    pub fn complete(&mut self, store_revision: u64, now: MonotonicTime) {
+    pub fn advance_revision(&mut self, store_revision: u64, now: MonotonicTime) {
         self.apply_job_batches(now);
         self.cached.store_revision = self.cached.store_revision.max(store_revision);
         let upto = self.cached.store_revision;
--- a/crates/pulleywood-controller/src/state/final_states.rs
+++ b/crates/pulleywood-controller/src/state/final_states.rs
@@ -9,26 +9,26 @@
 
 /// A bounded memory of final states, which never change.
 #[derive(Default)]
-pub struct Finals {
-    known: HashMap<JobId, FinalRecord>,
-    order: VecDeque<JobId>,
+pub struct FinalStateCache {
+    states: HashMap<JobId, FinalRecord>,
+    insertion_order: VecDeque<JobId>,
 }
 
-impl Finals {
+impl FinalStateCache {
     /// Keeps one; the oldest is dropped if there are too many.
-    pub fn put(&mut self, id: &JobId, state: FinalRecord) {
-        if self.known.insert(id.clone(), state).is_none() {
-            self.order.push_back(id.clone());
+    pub fn insert(&mut self, id: &JobId, state: FinalRecord) {
+        if self.states.insert(id.clone(), state).is_none() {
+            self.insertion_order.push_back(id.clone());
         }
-        if self.order.len() > CAPACITY
-            && let Some(old) = self.order.pop_front()
+        if self.insertion_order.len() > CAPACITY
+            && let Some(old) = self.insertion_order.pop_front()
         {
-            self.known.remove(&old);
+            self.states.remove(&old);
         }
     }
 
     /// The final state of a job, if it is kept.
     pub fn get(&self, id: &JobId) -> Option<FinalRecord> {
-        self.known.get(id).cloned()
+        self.states.get(id).cloned()
     }
 }
--- a/crates/pulleywood-controller/src/state/lease.rs
+++ b/crates/pulleywood-controller/src/state/lease.rs
@@ -8,5 +8,5 @@
     /// Its id, once granted.
     pub lease_id: Option<LeaseId>,
     /// When the last successful renewal was sent.
-    pub renewed: MonotonicTime,
+    pub renewed_at: MonotonicTime,
 }
--- a/crates/pulleywood-controller/src/state/led_shard.rs
+++ b/crates/pulleywood-controller/src/state/led_shard.rs
@@ -26,12 +26,12 @@
     /// Changes of jobs that the watch brought while the shard was being read.
     pub deferred_changes: Vec<DeferredChange>,
     /// Being handed over to another controller: nothing is launched.
-    pub leaving: bool,
+    pub handing_over: bool,
     /// When this process acquired the leadership.
     pub acquired_at: MonotonicTime,
     /// Revision of the record that says that every machine the shard had when it was
     /// acquired is accounted for.
-    pub reconciled_at: Option<Revision>,
+    pub reconciled_revision: Option<Revision>,
     /// The previous leader, while it may still answer workers.
     pub previous_leader: Option<LeaseHolder>,
 }
--- a/crates/pulleywood-controller/src/state/linearizable_reads.rs
+++ b/crates/pulleywood-controller/src/state/linearizable_reads.rs
@@ -19,11 +19,11 @@
 #[derive(Default)]
 struct ReadState {
     /// Number of the newest query.
-    newest: u64,
+    last_query: u64,
     /// Queries up to this one have had their read.
-    served: u64,
+    served_up_to: u64,
     /// Queries up to this one and after `served` had a read that failed.
-    failed: u64,
+    failed_up_to: u64,
     /// How long to stay away, if tokens were short.
     retry_after: Option<Duration>,
 }
@@ -33,14 +33,14 @@
     pub fn wait_for_read(&self) -> Result<(), StoreError> {
         let deadline = Instant::now() + READ_TIMEOUT;
         let mut state = self.state.lock();
-        state.newest += 1;
-        let query = state.newest;
+        state.last_query += 1;
+        let query = state.last_query;
         self.query_waiting.notify_one();
         loop {
-            if state.served >= query {
+            if state.served_up_to >= query {
                 return Ok(());
             }
-            if state.failed >= query {
+            if state.failed_up_to >= query {
                 return Err(match state.retry_after {
                     Some(wait) => StoreError::Budget(wait),
                     None => StoreError::Refused(503),
@@ -58,21 +58,21 @@
 
     /// Waits until a query waits; the number of the newest one, which a read begun
     /// after this call serves together with all before it.
-    pub fn next_read(&self) -> u64 {
+    pub fn wait_for_query(&self) -> u64 {
         let mut state = self.state.lock();
-        while state.newest <= state.served.max(state.failed) {
+        while state.last_query <= state.served_up_to.max(state.failed_up_to) {
             self.query_waiting.wait(&mut state);
         }
-        state.newest
+        state.last_query
     }
 
     /// The read for all queries up to this one has ended.
     pub fn finish_read(&self, newest: u64, result: Result<(), &StoreError>) {
         let mut state = self.state.lock();
         match result {
-            Ok(()) => state.served = state.served.max(newest),
+            Ok(()) => state.served_up_to = state.served_up_to.max(newest),
             Err(e) => {
-                state.failed = newest;
+                state.failed_up_to = newest;
                 state.retry_after = match e {
                     StoreError::Budget(wait) => Some(*wait),
                     _ => None,
--- a/crates/pulleywood-controller/src/state/mod.rs
+++ b/crates/pulleywood-controller/src/state/mod.rs
@@ -22,11 +22,11 @@
 pub use cached_state::CachedState;
 pub use context::ControllerContext;
 pub use controller_state::{ControllerState, ReceivedDigest};
-pub use final_states::Finals;
+pub use final_states::FinalStateCache;
 pub use lease::SessionLease;
 pub use led_shard::{DeferredChange, LedShard};
 pub use linearizable_reads::LinearizableReads;
-pub use records::{JobEntry, job_entry, read, read_job_batch, read_machine_batch};
+pub use records::{JobEntry, decode_job_batch, decode_machine_batch, decode_record, job_entry};
 pub use versioned::Versioned;
 
 #[cfg(test)]
--- a/crates/pulleywood-controller/src/state/own_writes.rs
+++ b/crates/pulleywood-controller/src/state/own_writes.rs
@@ -9,7 +9,7 @@
 
 impl ControllerState {
     /// A transaction of this controller changed the job at this revision or later.
-    pub fn wrote_since(&self, id: &JobId, revision: Revision) -> bool {
+    pub fn has_own_write_since(&self, id: &JobId, revision: Revision) -> bool {
         self.own_writes.get(id).is_some_and(|at| *at >= revision)
     }
 
@@ -17,28 +17,28 @@
     /// ones of the same keys. The outcome of a transaction of this controller at that
     /// revision is then known already, or out of date, and must not be applied: it could
     /// bring back jobs that have been cancelled since.
-    pub fn passed(&self, revision: Revision) -> bool {
+    pub fn watch_reached(&self, revision: Revision) -> bool {
         self.cached.store_revision >= revision.0
     }
 
     /// A transaction of this controller ended a job.
-    pub fn end_job(&mut self, id: &JobId, revision: Revision) {
+    pub fn remove_ended_job(&mut self, id: &JobId, revision: Revision) {
         self.own_writes.insert(id.clone(), revision);
-        self.cached.jobs.remove(id);
-        self.cached.own_records.remove(id);
+        self.cached.live_jobs.remove(id);
+        self.cached.jobs_with_own_record.remove(id);
         for led in self.led_shards.values_mut() {
             led.state.drop_job(id);
         }
     }
 
     /// A transaction of this controller took jobs out of job batches.
-    pub fn left_job_batches(
+    pub fn put_job_batches(
         &mut self,
         job_batches: Vec<(u64, Option<JobBatchRecord>)>,
         revision: Revision,
         now: MonotonicTime,
     ) {
-        if self.passed(revision) {
+        if self.watch_reached(revision) {
             return;
         }
         for (n, record) in job_batches {
@@ -48,14 +48,14 @@
     }
 
     /// A transaction of this controller gave a job a record of its own.
-    pub fn own_record(&mut self, id: &JobId, revision: Revision) {
-        if !self.passed(revision) {
-            self.cached.own_records.insert(id.clone());
+    pub fn note_own_record(&mut self, id: &JobId, revision: Revision) {
+        if !self.watch_reached(revision) {
+            self.cached.jobs_with_own_record.insert(id.clone());
         }
     }
 
     /// A transaction of this controller wrote a job batch, and the job batches' head.
-    pub fn wrote_job_batch(
+    pub fn put_written_job_batch(
         &mut self,
         head: BatchHead,
         batch: JobBatchRecord,
@@ -65,21 +65,21 @@
         // Another controller may have written the next one meanwhile. The watch has
         // brought its head then: an older one would stay, and every submission that
         // rests on it would be refused.
-        if !self.passed(revision) {
+        if !self.watch_reached(revision) {
             self.cached.job_batch_head = Versioned::new(head, revision);
             self.put_job_batch(head.last, Some(batch), revision, now);
         }
     }
 
     /// A transaction of this controller wrote a machine batch, and the machine batches' head.
-    pub fn wrote_machine_batch(
+    pub fn put_written_machine_batch(
         &mut self,
         head: BatchHead,
         machine_batch: MachineBatchAfter,
         revision: Revision,
         now: MonotonicTime,
     ) {
-        if !self.passed(revision) {
+        if !self.watch_reached(revision) {
             self.cached.machine_batch_head = Versioned::new(head, revision);
             self.put_machine_batches(vec![machine_batch], revision, now);
         }
@@ -92,7 +92,7 @@
         revision: Revision,
         now: MonotonicTime,
     ) {
-        if self.passed(revision) {
+        if self.watch_reached(revision) {
             return;
         }
         for (n, record) in machine_batches {
@@ -103,14 +103,14 @@
     /// A job accepted or transferred by a transaction of this controller: led shards know
     /// it at once.
     pub fn put_job(&mut self, record: &JobRecord, revision: Revision, now: MonotonicTime) {
-        if self.passed(revision) {
+        if self.watch_reached(revision) {
             return;
         }
         let config = Arc::clone(&self.config);
         let id = &record.spec.id;
         self.own_writes.insert(id.clone(), revision);
-        self.cached.jobs.entry(id.clone()).or_insert(0);
-        self.cached.own_records.insert(id.clone());
+        self.cached.live_jobs.entry(id.clone()).or_insert(0);
+        self.cached.jobs_with_own_record.insert(id.clone());
         for led in self.led_shards.values_mut().filter(|led| led.loaded) {
             led.state.put_job(record, revision, false, now, &config);
         }
--- a/crates/pulleywood-controller/src/state/queues.rs
+++ b/crates/pulleywood-controller/src/state/queues.rs
@@ -20,7 +20,7 @@
     /// Its record but for the fencing token.
     pub record: MachineRecord,
     /// The highest fencing token its worker has seen.
-    pub seen: FencingToken,
+    pub highest_seen_token: FencingToken,
 }
 
 /// What became of a registration.
@@ -46,7 +46,7 @@
     /// Accepted: the job is stored.
     Accepted,
     /// A job of this id is known already.
-    Known,
+    AlreadyExists,
     /// Not accepted now.
     Refused(StoreError),
 }
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -21,42 +21,44 @@
     /// The live record, or the one in a job batch, cannot be read.
     Unreadable,
     /// The job has ended.
-    Gone,
+    Ended,
 }
 
 impl JobEntry {
     /// What the record (chunk 0) or continuation of a job holds; none if a continuation
     /// cannot be read.
-    pub(super) fn read(chunk: u32, value: &cbor::Value, path: &str) -> Option<JobEntry> {
+    pub(super) fn decode(chunk: u32, value: &cbor::Value, path: &str) -> Option<JobEntry> {
         match chunk {
-            0 => Some(match read(Some(value), path) {
+            0 => Some(match decode_record(Some(value), path) {
                 Some(record) => JobEntry::Record(Box::new(record)),
                 None => JobEntry::Unreadable,
             }),
-            n => read(Some(value), path).map(|record| JobEntry::Chunk(n, record)),
+            n => decode_record(Some(value), path).map(|record| JobEntry::Chunk(n, record)),
         }
     }
 }
 
 impl LedShard {
     /// A job's key changed. `old`: an earlier leader may have launched the job.
-    pub fn job_event(
+    pub fn apply_job_entry(
         &mut self,
         id: &JobId,
         entry: &JobEntry,
         revision: Revision,
-        old: bool,
+        inherited: bool,
         now: MonotonicTime,
         config: &Config,
     ) {
         match entry {
-            JobEntry::Record(record) => self.state.put_job(record, revision, old, now, config),
+            JobEntry::Record(record) => {
+                self.state.put_job(record, revision, inherited, now, config)
+            }
             JobEntry::Batched(record) => self
                 .state
-                .put_batched_job(record, revision, old, now, config),
+                .put_batched_job(record, revision, inherited, now, config),
             JobEntry::Chunk(n, record) => self.state.put_chunk(id, *n, record, revision, config),
             JobEntry::Unreadable => self.state.block_job(id),
-            JobEntry::Gone => {
+            JobEntry::Ended => {
                 let blocked = self.state.unreadable_jobs.contains(id);
                 let older = |j: &Job| j.revision < revision;
                 if blocked || self.state.jobs.get(id).is_some_and(older) {
@@ -68,19 +70,22 @@
 }
 
 /// Reads a stored record; one that cannot be read is logged and left alone.
-pub fn read<T: serde::de::DeserializeOwned>(value: Option<&cbor::Value>, path: &str) -> Option<T> {
-    logged(cbor::from_value(value?), path)
+pub fn decode_record<T: serde::de::DeserializeOwned>(
+    value: Option<&cbor::Value>,
+    path: &str,
+) -> Option<T> {
+    log_unreadable(cbor::from_value(value?), path)
 }
 
-fn logged<T, E: std::fmt::Display>(record: Result<T, E>, path: &str) -> Option<T> {
+fn log_unreadable<T, E: std::fmt::Display>(record: Result<T, E>, path: &str) -> Option<T> {
     record
         .inspect_err(|e| log::error!("record {path} cannot be read: {e}"))
         .ok()
 }
 
 /// Reads a stored job batch; jobs in it that cannot be read are logged.
-pub fn read_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
-    let batch = logged(JobBatchRecord::from_value(value), path)?;
+pub fn decode_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
+    let batch = log_unreadable(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
         let id = pulleywood_protocol::job_batch::job_id(record);
         let name = id.map_or("one".to_owned(), |id| id.to_string());
@@ -90,8 +95,8 @@
 }
 
 /// Reads a stored machine batch; machines in it that cannot be read are logged.
-pub fn read_machine_batch(value: &cbor::Value, path: &str) -> Option<MachineBatchRecord> {
-    let batch = logged(MachineBatchRecord::from_value(value), path)?;
+pub fn decode_machine_batch(value: &cbor::Value, path: &str) -> Option<MachineBatchRecord> {
+    let batch = log_unreadable(MachineBatchRecord::from_value(value), path)?;
     for id in batch.unreadable.keys() {
         log::error!("record {path}: machine {id} cannot be read");
     }
@@ -103,6 +108,6 @@
     let Key::Job(_, id, chunk) = Key::parse(&item.path)? else {
         return None;
     };
-    let entry = JobEntry::read(chunk, &item.value, &item.path)?;
+    let entry = JobEntry::decode(chunk, &item.value, &item.path)?;
     Some((id, entry))
 }
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -66,9 +66,9 @@
         revision: Revision(40),
         loaded: true,
         deferred_changes: vec![],
-        leaving: false,
+        handing_over: false,
         acquired_at: at(10),
-        reconciled_at: None,
+        reconciled_revision: None,
         previous_leader: Some(before),
     };
     controller.led_shards.insert(ShardId(0), led);
@@ -89,13 +89,13 @@
         ),
         (
             "an answer asked for before the take-over",
-            |n| n.confirm(&"c-1".into(), at(9), at(11), &[]),
+            |n| n.apply_served_shards(&"c-1".into(), at(9), at(11), &[]),
             full,
         ),
         (
             "it still answers workers",
             |n| {
-                n.confirm(
+                n.apply_served_shards(
                     &"c-1".into(),
                     at(11),
                     at(11),
@@ -106,7 +106,7 @@
         ),
         (
             "it does not",
-            |n| n.confirm(&"c-1".into(), at(11), at(11), &[]),
+            |n| n.apply_served_shards(&"c-1".into(), at(11), at(11), &[]),
             lapsed,
         ),
     ];
@@ -215,12 +215,12 @@
             controller.put_job(&job, Revision(50), at(11));
             assert!(controller.is_live(&id));
         }
-        controller.event(event(true, &key, &job, 50), at(11));
-        controller.event(event(false, &key, 0, 51), at(11));
-        controller.complete(51, at(11));
+        controller.apply_event(event(true, &key, &job, 50), at(11));
+        controller.apply_event(event(false, &key, 0, 51), at(11));
+        controller.advance_revision(51, at(11));
         if late {
             controller.put_job(&job, Revision(50), at(12));
-            controller.own_record(&id, Revision(50));
+            controller.note_own_record(&id, Revision(50));
         }
         assert!(!controller.is_live(&id), "late: {late}");
         let state = &controller.led_shards[&ShardId(0)].state;
@@ -235,9 +235,9 @@
             ..Default::default()
         };
         let say = |controller: &mut ControllerState| {
-            controller.wrote_job_batch(mine, pack.clone(), Revision(60), at(12));
+            controller.put_written_job_batch(mine, pack.clone(), Revision(60), at(12));
             let machine_batch = (1, Some(MachineBatchRecord::default()));
-            controller.wrote_machine_batch(mine, machine_batch, Revision(60), at(12));
+            controller.put_written_machine_batch(mine, machine_batch, Revision(60), at(12));
         };
         if !late {
             say(&mut controller);
@@ -246,13 +246,13 @@
             pulleywood_protocol::record::JOB_BATCH_HEAD,
             pulleywood_protocol::record::MACHINE_BATCH_HEAD,
         ] {
-            controller.event(event(true, head, mine, 60), at(12));
-            controller.event(event(true, head, next, 61), at(12));
+            controller.apply_event(event(true, head, mine, 60), at(12));
+            controller.apply_event(event(true, head, next, 61), at(12));
         }
         let key = pulleywood_protocol::record::job_batch_key(1);
-        controller.event(event(true, &key, &pack, 60), at(12));
-        controller.event(event(false, &key, 0, 61), at(12));
-        controller.complete(61, at(12));
+        controller.apply_event(event(true, &key, &pack, 60), at(12));
+        controller.apply_event(event(false, &key, 0, 61), at(12));
+        controller.advance_revision(61, at(12));
         if late {
             say(&mut controller);
         }
@@ -289,7 +289,12 @@
             ..Default::default()
         };
         if in_batch {
-            controller.wrote_job_batch(BatchHead { last: 1 }, pack.clone(), Revision(50), at(11));
+            controller.put_written_job_batch(
+                BatchHead { last: 1 },
+                pack.clone(),
+                Revision(50),
+                at(11),
+            );
         } else {
             controller.put_job(&job, Revision(50), at(11));
         }
@@ -300,29 +305,29 @@
         assert!(waits(&controller));
         controller.put_job(&transferred, Revision(55), at(12));
         if in_batch {
-            controller.left_job_batches(vec![(1, None)], Revision(55), at(12));
+            controller.put_job_batches(vec![(1, None)], Revision(55), at(12));
         }
         assert!(!waits(&controller), "packed: {in_batch}");
         if in_batch {
-            controller.event(event(true, &job_batch_key, &pack, 50), at(13))
+            controller.apply_event(event(true, &job_batch_key, &pack, 50), at(13))
         } else {
-            controller.event(event(true, &key, &job, 50), at(13))
+            controller.apply_event(event(true, &key, &job, 50), at(13))
         }
-        controller.complete(52, at(13));
+        controller.advance_revision(52, at(13));
         assert!(
             !waits(&controller),
             "packed: {in_batch}, after the older change"
         );
-        controller.event(event(true, &key, &transferred, 55), at(14));
+        controller.apply_event(event(true, &key, &transferred, 55), at(14));
         if in_batch {
-            controller.event(event(false, &job_batch_key, 0, 55), at(14));
+            controller.apply_event(event(false, &job_batch_key, 0, 55), at(14));
         }
-        controller.complete(56, at(14));
+        controller.advance_revision(56, at(14));
         assert!(!waits(&controller), "packed: {in_batch}, after its own");
         assert!(controller.is_live(&id) && controller.own_writes.is_empty());
         // Lent back by the other shard, it is this one's again.
-        controller.event(event(true, &key, &job, 60), at(15));
-        controller.complete(60, at(15));
+        controller.apply_event(event(true, &key, &job, 60), at(15));
+        controller.advance_revision(60, at(15));
         assert!(waits(&controller), "packed: {in_batch}, transferred back");
     }
 }
@@ -338,7 +343,7 @@
             value: None,
             revision: Revision(revision),
         };
-        controller.event(event, at(12));
+        controller.apply_event(event, at(12));
         assert_eq!(
             controller.led_shards.contains_key(&ShardId(0)),
             held,
@@ -352,10 +357,10 @@
     // Out of contact since second 0; a worker expires a lease after the
     // last answer, and a cancellation told elsewhere has cancel_s.
     let mut controller = controller();
-    controller.is_cached = true;
+    controller.cache_loaded = true;
     controller.lease.lease_id = Some(LeaseId(1));
-    controller.lease.renewed = at(0);
-    controller.caught_up = at(0);
+    controller.lease.renewed_at = at(0);
+    controller.cache_current_as_of = at(0);
     let (lease, cancel) = (controller.config.lease, controller.config.cancel);
     let last = (0..100_000)
         .map(|ms| at(0) + Duration::from_millis(ms))
@@ -380,10 +385,10 @@
     // cancellations that others told their users. (Age of the cached state in ms, launches)
     for (ms, launches) in [(0, true), (1500, true), (2900, true), (3000, false)] {
         let mut controller = controller();
-        controller.is_cached = true;
+        controller.cache_loaded = true;
         controller.lease.lease_id = Some(LeaseId(1));
-        controller.lease.renewed = at(0);
-        controller.caught_up = at(0);
+        controller.lease.renewed_at = at(0);
+        controller.cache_current_as_of = at(0);
         let now = at(0) + Duration::from_millis(ms);
         assert!(controller.may_act(now), "{ms}");
         assert_eq!(controller.may_launch(now), launches, "{ms}");
@@ -412,10 +417,10 @@
             let config = Arc::make_mut(&mut controller.config);
             config.lease = secs(lease);
             config.cancel = secs(cancel);
-            controller.is_cached = true;
+            controller.cache_loaded = true;
             controller.lease.lease_id = Some(LeaseId(1));
-            controller.lease.renewed = at(renewed);
-            controller.caught_up = at(read);
+            controller.lease.renewed_at = at(renewed);
+            controller.cache_current_as_of = at(read);
             let contact = at(100);
             let gone = contact + controller.config.cancel;
             let span = controller.config.answer_span();
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -2,7 +2,8 @@
 //! learns of new and cancelled jobs.
 
 use crate::state::{
-    CachedState, ControllerContext, ControllerState, read, read_job_batch, read_machine_batch,
+    CachedState, ControllerContext, ControllerState, decode_job_batch, decode_machine_batch,
+    decode_record,
 };
 use pulleywood_protocol::record::{
     FinalRecord, JOB_BATCHES, LIVE, MACHINE_BATCHES, WATCHED, closed_job, job_key,
@@ -22,7 +23,7 @@
 pub fn read_for_users(context: &Arc<ControllerContext>) {
     let reads = &context.linearizable_reads;
     loop {
-        let newest = reads.next_read();
+        let newest = reads.wait_for_query();
         let result = changes(context, RequestPriority::Question, Duration::ZERO);
         if let Err(e) = &result {
             log::debug!("failed to read changes for users: {e}");
@@ -43,7 +44,7 @@
 ) -> Result<bool, StoreError> {
     let from = {
         let controller = context.controller.lock();
-        if !controller.is_cached {
+        if !controller.cache_loaded {
             return Err(StoreError::TooOld);
         }
         controller.cached.store_revision
@@ -60,11 +61,11 @@
     for event in answer.events {
         if event.revision.0 > known {
             changed = true;
-            controller.event(event, now);
+            controller.apply_event(event, now);
         }
     }
-    controller.complete(answer.store_revision, now);
-    controller.caught_up = controller.caught_up.max(sent);
+    controller.advance_revision(answer.store_revision, now);
+    controller.cache_current_as_of = controller.cache_current_as_of.max(sent);
     drop(controller);
     if changed {
         context.work_available.notify_all();
@@ -75,13 +76,13 @@
 /// Keeps the final states that the watch brings, so that users' polls need no read of
 /// their own: a read for each ended job would exceed the store's rate.
 fn remember_final_states(context: &ControllerContext, events: &[Event]) {
-    let mut finals = context.finals.lock();
+    let mut finals = context.final_states.lock();
     for event in events {
         if let Some(path) = &event.write
             && let Some(id) = closed_job(path)
-            && let Some(state) = read::<FinalRecord>(event.value.as_ref(), path)
+            && let Some(state) = decode_record::<FinalRecord>(event.value.as_ref(), path)
         {
-            finals.put(&id, state);
+            finals.insert(&id, state);
         }
     }
 }
@@ -114,21 +115,21 @@
     let (items, store_revision) = context.store.list(RequestPriority::ShardLeader, LIVE)?;
     let now = context.clock.now();
     let mut controller = context.controller.lock();
-    let first = !controller.is_cached;
+    let first = !controller.cache_loaded;
     let replaced = std::mem::take(&mut controller.cached);
     controller.cached.store_revision = store_revision;
     let missing_jobs = missing_jobs(&controller, &items);
     drop_missing_machines(&mut controller, &items, store_revision);
     for path in missing_jobs {
-        controller.event(deleted(path, store_revision), now);
+        controller.apply_event(deleted(path, store_revision), now);
     }
     for item in items {
-        controller.event(written(item), now);
+        controller.apply_event(written(item), now);
     }
-    controller.complete(store_revision, now);
+    controller.advance_revision(store_revision, now);
     keep_vacancy_times(&mut controller, &replaced, now);
-    controller.is_cached = true;
-    controller.caught_up = controller.caught_up.max(sent);
+    controller.cache_loaded = true;
+    controller.cache_current_as_of = controller.cache_current_as_of.max(sent);
     drop(controller);
     if first {
         log::info!("read the state service at revision {store_revision}");
@@ -143,7 +144,7 @@
     let in_batch: BTreeSet<JobId> = items
         .iter()
         .filter(|i| i.path.starts_with(JOB_BATCHES))
-        .filter_map(|i| read_job_batch(&i.value, &i.path))
+        .filter_map(|i| decode_job_batch(&i.value, &i.path))
         .flat_map(|batch| {
             let unreadable: Vec<JobId> = batch.unreadable_ids().collect();
             let jobs = batch.jobs.into_iter().map(|j| j.spec.id);
@@ -168,7 +169,7 @@
     let stored: BTreeSet<MachineId> = items
         .iter()
         .filter(|i| i.path.starts_with(MACHINE_BATCHES))
-        .filter_map(|i| read_machine_batch(&i.value, &i.path))
+        .filter_map(|i| decode_machine_batch(&i.value, &i.path))
         .flat_map(|batch| {
             let unreadable = batch.unreadable.into_keys();
             batch.machines.into_keys().chain(unreadable)
@@ -194,9 +195,9 @@
 ) {
     let shards = controller.cached.shard_count().unwrap_or(0);
     for shard in (0..shards).map(ShardId) {
-        if !controller.cached.shards.contains_key(&shard) {
-            let since = replaced.free_since.get(&shard).copied().unwrap_or(now);
-            controller.cached.free_since.insert(shard, since);
+        if !controller.cached.shard_leaders.contains_key(&shard) {
+            let since = replaced.vacant_since.get(&shard).copied().unwrap_or(now);
+            controller.cached.vacant_since.insert(shard, since);
         }
     }
 }
