--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -79,7 +79,7 @@
         }
         // Leaders hold its launches back beside the transaction.
         context.suspend_launches(std::slice::from_ref(&id));
-        context.announced_cancellations.post(id.clone());
+        context.cancellation_notices.post(id.clone());
         match commit_cancellation(context, id.shard(shards), &id) {
             Ok(CancelOutcome::Cancelled(state)) => {
                 log::debug!("cancelled {id}");
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -71,7 +71,7 @@
 /// effort; runs for the life of the process.
 pub fn notify_cancellations(context: &Arc<ControllerContext>) {
     loop {
-        let jobs = context.announced_cancellations.take_all();
+        let jobs = context.cancellation_notices.take_all();
         for leader in fresh_leaders(context) {
             if let Some(peer) = context.peers.get(&leader)
                 && let Err(e) = peer.ask(
--- a/crates/pulleywood-controller/src/state/cached_state.rs
+++ b/crates/pulleywood-controller/src/state/cached_state.rs
@@ -1,4 +1,4 @@
-//! The copy of the watched keys.
+//! The controller's copy of the watched keys.
 
 use super::Versioned;
 use pulleywood_protocol::job_batch::{BatchHead, JobBatches};
@@ -7,46 +7,47 @@
 use pulleywood_protocol::{FencingToken, JobId, MachineId, MonotonicTime, Revision, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A copy of the watched keys, as new as the last watch response.
+/// A copy of the watched keys, as of the last watch response, with the outcomes of this
+/// controller's own newer transactions applied.
 #[derive(Debug, Default)]
 pub struct CachedState {
-    /// Revision up to which it is complete.
+    /// Store revision up to which every change is contained.
     pub store_revision: u64,
-    /// How many shards.
+    /// Layout of the cluster: the number of shards. `None` until it is stored.
     pub layout: Option<Layout>,
-    /// The fencing-token counter.
+    /// Last fencing token that was drawn, with the revision of the counter.
     pub fencing_token: Versioned<FencingToken>,
-    /// Holder of the coordinator lease.
+    /// Holder of the coordinator lease; `None` if nobody holds it.
     pub coordinator_lease: Option<Versioned<LeaseHolder>>,
-    /// Leaders of the shards.
+    /// Leader of each shard that has one.
     pub shard_leaders: BTreeMap<ShardId, Versioned<LeaseHolder>>,
-    /// Since when a shard has had no leader, as far as this controller knows.
+    /// For each shard without a leader, when this controller first saw it without one.
     pub vacant_since: BTreeMap<ShardId, MonotonicTime>,
-    /// Shards' quotas.
+    /// Stored quotas of each shard.
     pub quotas: BTreeMap<ShardId, Versioned<QuotaRecord>>,
-    /// All machines.
+    /// Record and revision of each registered machine.
     pub machines: BTreeMap<MachineId, (MachineRecord, Revision)>,
-    /// All live jobs, and how many of their tasks are recorded as done.
+    /// Number of tasks recorded as done, for each job that has not ended.
     pub live_jobs: BTreeMap<JobId, u32>,
-    /// Machines whose records cannot be read: no leader commands them.
+    /// Machines whose records cannot be decoded: no leader sends them commands.
     pub unreadable_machines: BTreeSet<MachineId>,
-    /// Stored job batches.
+    /// Job batches, with the jobs in each.
     pub job_batches: JobBatches,
-    /// Stored machine batches.
+    /// Machine batches, with the machines in each.
     pub machine_batches: MachineBatches,
-    /// Head of the machine batches: the number of the newest one.
+    /// Head of the machine batches, which holds the number of the last one written.
     pub machine_batch_head: Versioned<BatchHead>,
-    /// Head of the job batches: the number of the newest one.
+    /// Head of the job batches, which holds the number of the last one written.
     pub job_batch_head: Versioned<BatchHead>,
-    /// Jobs that left their job batches by transactions not yet applied in full: they
-    /// have a record of their own, or are final.
+    /// Jobs removed from their job batch by transactions that have not been applied in
+    /// full, with the revision. Each has either got a record of its own or ended.
     pub(super) removed_from_batches: Vec<(JobId, Revision)>,
-    /// Live jobs that have a record of their own.
+    /// Live jobs that have a record of their own, outside the job batches.
     pub(super) jobs_with_own_record: BTreeSet<JobId>,
 }
 
 impl CachedState {
-    /// Number of shards, once the layout is known.
+    /// Number of shards; `None` until the layout is known.
     pub fn shard_count(&self) -> Option<u32> {
         self.layout.map(|layout| layout.shards)
     }
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -1,4 +1,4 @@
-//! Everything the threads of one controller share.
+//! State and clients that the threads of one controller share.
 
 use super::queues::{RegistrationQueue, SubmissionQueue};
 use super::{ControllerState, FinalStateCache, LinearizableReads};
@@ -17,48 +17,50 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Everything the threads of one controller share.
+/// State and clients that the threads of one controller share.
 pub struct ControllerContext {
-    /// The settings file's contents.
+    /// Contents of the settings file.
     pub settings: Settings,
     /// Id of this controller.
     pub controller_id: MemberId,
-    /// Random number of this process.
+    /// Random number drawn at start, which tells this process from former processes of the
+    /// same controller.
     pub boot: u64,
-    /// Its clock.
+    /// Steady clock of this process.
     pub clock: Clock,
-    /// Client of the store.
+    /// Client of the state service.
     pub store: StoreClient,
-    /// Client of the cloud.
+    /// Client of the cloud service.
     pub cloud: CloudClient,
-    /// Clients of the other controllers.
+    /// Clients of the other controllers, by their ids.
     pub peers: BTreeMap<MemberId, PeerClient>,
-    /// What this controller knows. The lock is never held across I/O.
+    /// State of this controller. The lock is never held across I/O.
     pub controller: Mutex<ControllerState>,
-    /// Notified when the leadership thread may have something to do.
+    /// Notified when the leadership thread may have a step to carry out.
     pub work_available: Condvar,
-    /// Submissions that wait for a job batch.
+    /// Submissions that wait to be written in a job batch.
     pub submissions: SubmissionQueue,
-    /// Machines that wait for a machine batch.
+    /// Machines that wait to be written in a machine batch.
     pub registrations: RegistrationQueue,
-    /// Jobs being cancelled whose leaders are to be notified.
-    pub announced_cancellations: Mailbox<JobId>,
-    /// Users' queries that wait for a read begun after they came.
+    /// Jobs that are being cancelled, of which the shards' leaders are to be notified.
+    pub cancellation_notices: Mailbox<JobId>,
+    /// Users' queries that wait for a read that starts after they arrived.
     pub linearizable_reads: LinearizableReads,
-    /// Sequence number of the last digest sent.
-    pub digests_sent: AtomicU64,
-    /// Pauses between requests to the store for changes.
+    /// Sequence number of the last digest made; 0 before the first.
+    pub last_digest_seq: AtomicU64,
+    /// Pauses between requests for changes to the state service.
     pub poll_intervals: PollIntervals,
-    /// When a submission was last refused for lack of write tokens, in ms.
+    /// When a submission was last refused for lack of write tokens, in milliseconds on
+    /// `clock`; 0 if none was.
     pub last_refusal_ms: AtomicU64,
-    /// Policy of the recovery subsystem, if it is switched on.
+    /// Policy of the recovery subsystem; `None` if recovery is disabled.
     pub recovery: Option<RecoveryPolicy>,
-    /// Final states written or read lately, kept for later polls.
+    /// Final states written or read recently, which answer users' polls without a read.
     pub final_states: Mutex<FinalStateCache>,
 }
 
 impl ControllerContext {
-    /// This process as the holder of a lease under a fencing token.
+    /// Returns this process as the holder of a lease under a fencing token.
     pub fn lease_holder(&self, fencing_token: FencingToken) -> LeaseHolder {
         LeaseHolder {
             member: self.controller_id.clone(),
@@ -67,33 +69,36 @@
         }
     }
 
-    /// The holder of a lease is this process, not a former one of this controller.
+    /// Whether the holder of a lease is this process, not a former process of this
+    /// controller.
     pub fn is_this_process(&self, holder: &LeaseHolder) -> bool {
         holder.member == self.controller_id && holder.boot == self.boot
     }
 
-    /// A submission was refused lately for lack of write tokens.
+    /// Whether a submission was refused for lack of write tokens in
+    /// the last 5 s.
     pub fn refused_recently(&self, now: MonotonicTime) -> bool {
         let at = MonotonicTime(self.last_refusal_ms.load(Ordering::Relaxed));
         at > MonotonicTime(0) && now.since(at) < Duration::from_secs(5)
     }
 
-    /// Holds launches of jobs back that are being cancelled, as long as this controller
-    /// may launch without having heard more of them.
+    /// Suspends launches of jobs that are being cancelled, for the length of the session
+    /// lease: a controller that is out of contact with the store may not launch for longer.
     pub fn suspend_launches(&self, jobs: &[JobId]) {
         let mut controller = self.controller.lock();
         let until = self.clock.now() + controller.lease_ttl();
         controller.suspend_launches(jobs, until);
     }
 
-    /// Puts machine batches as a transaction of this controller wrote them.
+    /// Applies machine batches that a transaction of this controller wrote, or that were
+    /// read at this revision.
     pub fn put_machine_batches(&self, machine_batches: Vec<MachineBatchAfter>, revision: Revision) {
         let now = self.clock.now();
         let mut controller = self.controller.lock();
         controller.put_machine_batches(machine_batches, revision, now);
     }
 
-    /// The digest this controller sends.
+    /// Makes the next digest that this controller sends to its peers.
     pub fn digest(&self) -> Digest {
         let now = self.clock.now();
         let state_ok = self.store.answers();
@@ -101,7 +106,7 @@
         Digest {
             member: self.controller_id.clone(),
             boot: self.boot,
-            seq: self.digests_sent.fetch_add(1, Ordering::Relaxed) + 1,
+            seq: self.last_digest_seq.fetch_add(1, Ordering::Relaxed) + 1,
             state_ok,
             fit: controller.cache_loaded
                 && controller.lease.lease_id.is_some()
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -1,4 +1,4 @@
-//! What one controller knows.
+//! State of one controller that its threads read and change under a mutex.
 
 use super::{CachedState, LedShard, SessionLease};
 use pulleywood_protocol::peer::{Digest, ShardDigest};
@@ -14,91 +14,94 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nothing is launched on a cached state older than this.
+/// Greatest age of the cached state at which tasks are launched.
 const MAX_LAUNCH_CACHE_AGE: Duration = Duration::from_secs(3);
 
-/// Digests show work that was accepted longer ago than this.
-const ACCEPTED_LATELY: Duration = Duration::from_millis(1500);
+/// Time after which accepted work shows in the digests of its shard.
+const DIGEST_LAG: Duration = Duration::from_millis(1500);
 
-/// While no worker reaches this controller, it acquires no shard.
+/// Back-off during which this controller acquires no shard, as no worker reached it.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AcquireBackoff {
-    /// End of the back-off.
+    /// End of the back-off; in the past if none is under way.
     pub until: MonotonicTime,
-    /// How often it was repeated in a row.
+    /// Number of back-offs that followed the first one within the same outage.
     pub repeats: u32,
 }
 
-/// A peer's digest, as received.
+/// The last digest received from a peer.
 #[derive(Debug)]
 pub struct ReceivedDigest {
-    /// The digest.
+    /// The digest as sent by the peer.
     pub digest: Digest,
-    /// When it was received.
+    /// When this controller received the digest.
     pub received_at: MonotonicTime,
 }
 
 impl ReceivedDigest {
-    /// It was received less than this long ago.
+    /// Whether the digest was received less than `age` ago.
     pub fn is_fresh(&self, now: MonotonicTime, age: Duration) -> bool {
         now.since(self.received_at) < age
     }
 }
 
-/// Digests of the led shards, kept for a short while.
+/// Cached digests of the led shards.
 #[derive(Debug, Default)]
 pub(super) struct OwnDigests {
-    /// When they were made.
+    /// When the digests were made.
     pub(super) made_at: MonotonicTime,
-    /// One a shard.
+    /// One digest for each loaded shard, ordered by shard.
     pub(super) digests: Vec<Arc<ShardDigest>>,
 }
 
-/// Work of a job that was accepted here lately.
+/// Work that a job accepted by this controller adds to a shard.
 struct AcceptedWork {
     accepted_at: MonotonicTime,
     shard: ShardId,
-    /// As [`shard_selection::size`] measures it.
+    /// Number of machines that the work would fill, as [`shard_selection::size`] measures it.
     size: f64,
 }
 
-/// What one controller knows, behind one short lock.
+/// State of one controller. It is kept behind one mutex, which is held for short sections.
 pub struct ControllerState {
-    /// Configuration of the decisions.
+    /// Configuration of the scheduling decisions.
     pub config: Arc<Config>,
-    /// Copy of the watched keys.
+    /// Copy of the watched keys in the store.
     pub cached: CachedState,
-    /// The cached state has been read in full at least once.
+    /// Whether the watched keys have been read in full at least once.
     pub cache_loaded: bool,
-    /// The session lease.
+    /// Session lease of this controller.
     pub lease: SessionLease,
-    /// The cached state contains every change committed before this time.
+    /// Time before which every committed change is contained in the cached state.
     pub cache_current_as_of: MonotonicTime,
     /// Shards led by this controller.
     pub led_shards: BTreeMap<ShardId, LedShard>,
-    /// Newest digest of each peer.
+    /// Last digest received from each peer.
     pub digests: BTreeMap<MemberId, ReceivedDigest>,
-    /// Set when leadership was given up because no worker reached this controller.
+    /// Back-off from acquiring shards, set when a shard was given up because no worker
+    /// reached this controller.
     pub acquire_backoff: AcquireBackoff,
-    /// Jobs that transactions of this controller changed or ended, with the revision,
-    /// until the watch brings it. Older changes of such a job are not applied to led
-    /// shards: they would revive a job that has ended, or tasks that were transferred
-    /// to another shard and would then run in both.
+    /// Jobs that transactions of this controller changed or ended, with the revision of the
+    /// transaction. An entry is removed once the watch has reached the revision. Until then,
+    /// older changes of the job are not applied to led shards: they would revive a job that
+    /// has ended, or tasks that were transferred to another shard, which would then run in
+    /// both.
     pub own_writes: BTreeMap<JobId, Revision>,
-    /// Fencing tokens above their shard's that machines of led shards showed.
+    /// Fencing tokens that machines of led shards have seen and that are higher than their
+    /// shard's.
     pub higher_fencing_tokens: BTreeMap<MachineId, Shown>,
-    /// Machine types that waiting work of all shards could use lately.
+    /// Sets of machine types that waiting work of all shards could recently use.
     pub(super) machine_type_demand: MachineTypeDemand,
-    /// Boot numbers of peers' processes that newer ones have replaced.
+    /// Boot numbers of peers' processes that have been replaced by newer ones.
     pub(super) former_boots: VecDeque<u64>,
-    /// Digests of the led shards.
+    /// Cached digests of the led shards.
     pub(super) own_digests: OwnDigests,
-    /// Work accepted here lately, which digests do not show yet.
+    /// Work accepted by this controller that digests may not show yet.
     recently_accepted: Vec<AcceptedWork>,
 }
 
 impl ControllerState {
-    /// A state that knows nothing yet.
+    /// Creates the state of a controller that has neither read the store nor heard of peers.
     pub fn new(config: Config) -> Self {
         Self {
             config: Arc::new(config),
@@ -118,13 +121,14 @@
         }
     }
 
-    /// Length of the session lease.
+    /// Time to live of the session lease.
     pub fn lease_ttl(&self) -> Duration {
         secs(self.config.policy.shard_lease_s)
     }
 
-    /// The local end of the lease: counted from before the renewal was sent,
-    /// less drift and margin, so that it lies before the store's.
+    /// End of the session lease by the local clock; in the past if there is no lease. It is
+    /// counted from before the renewal was sent, less clock drift and a margin, so that the
+    /// lease ends here before it ends in the store.
     pub fn lease_end(&self) -> MonotonicTime {
         match self.lease.lease_id {
             Some(_) => self.lease.renewed_at + surely_within(self.lease_ttl()),
@@ -132,26 +136,28 @@
         }
     }
 
-    /// Launches, writes and quotas are allowed.
+    /// Whether this controller may act as a leader, that is, launch, write and change quotas:
+    /// its session lease is valid and it may answer workers.
     pub fn may_act(&self, now: MonotonicTime) -> bool {
         now < self.lease_end() && self.may_answer(now)
     }
 
-    /// Work may be launched: the cached state is as fresh as an idle watch keeps it. An
-    /// older one, as when the store refuses this controller alone, may lack
-    /// cancellations that were confirmed to users.
+    /// Whether tasks may be launched: the cached state must be as fresh as an idle watch
+    /// keeps it. An older one, as when the store refuses only this controller, may lack
+    /// cancellations that other controllers have confirmed to users.
     pub fn may_launch(&self, now: MonotonicTime) -> bool {
         self.may_act(now) && now.since(self.cache_current_as_of) < MAX_LAUNCH_CACHE_AGE
     }
 
-    /// Workers may be answered: a cancellation confirmed elsewhere since the last
-    /// contact is still obeyed in time, as workers' leases expire before then.
+    /// Whether workers may be answered. While this holds, a cancellation that another
+    /// controller has confirmed since the last contact with the store is still carried out
+    /// in time, because workers' leases expire before the cancellation is due.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
         let contact = self.lease.renewed_at.min(self.cache_current_as_of);
         self.cache_loaded && now < contact + self.config.answer_span()
     }
 
-    /// Shards that workers are answered for, with their fencing tokens.
+    /// Shards for which this controller answers workers, with their fencing tokens.
     pub fn serving(&self, now: MonotonicTime) -> Vec<(ShardId, FencingToken)> {
         if !self.may_answer(now) {
             return Vec::new();
@@ -161,13 +167,13 @@
             .collect()
     }
 
-    /// No worker reaches this controller: it acquires no shard for a while, longer
-    /// each time in a row.
+    /// Starts a back-off from acquiring shards, as no worker reaches this controller. Each
+    /// back-off in the same outage is twice as long as the one before, up to a limit.
     pub fn back_off_acquiring(&mut self, now: MonotonicTime) {
         const SAME_OUTAGE: Duration = Duration::from_secs(120);
-        let last = self.acquire_backoff;
-        let repeated = now.since(last.until) < SAME_OUTAGE;
-        let repeats = if repeated { last.repeats + 1 } else { 0 };
+        let previous = self.acquire_backoff;
+        let repeated = now.since(previous.until) < SAME_OUTAGE;
+        let repeats = if repeated { previous.repeats + 1 } else { 0 };
         let wait = self.config.lease * (4 << repeats.min(3));
         self.acquire_backoff = AcquireBackoff {
             until: now + wait,
@@ -175,7 +181,7 @@
         };
     }
 
-    /// Holds launches of jobs back until a time.
+    /// Suspends launches of jobs in all led shards until a time.
     pub fn suspend_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
         for led in self.led_shards.values_mut() {
             for id in jobs {
@@ -184,7 +190,7 @@
         }
     }
 
-    /// A machine of a led shard showed a fencing token above the shard's.
+    /// Notes that a machine of a led shard has seen a fencing token higher than the shard's.
     pub fn note_higher_fencing_token(
         &mut self,
         machine: &MachineId,
@@ -198,18 +204,19 @@
         self.higher_fencing_tokens.insert(machine.clone(), shown);
     }
 
-    /// A job is live.
+    /// Whether a job has been accepted and has not ended, as far as the cached state shows.
     pub fn is_live(&self, id: &JobId) -> bool {
         self.cached.live_jobs.contains_key(id)
     }
 
-    /// The peer's digest was received less than this long ago.
+    /// Whether a digest of the peer was received less than `age` ago.
     pub fn has_recent_digest(&self, peer: &MemberId, now: MonotonicTime, age: Duration) -> bool {
         let digest = self.digests.get(peer);
         digest.is_some_and(|digest| digest.is_fresh(now, age))
     }
 
-    /// The record of a new job, with the shards that are to run its tasks.
+    /// Makes the record of a new job and chooses the shards that run its tasks. `at_ms`: time
+    /// of submission, in milliseconds of the time of day.
     pub fn new_job_record(&mut self, spec: JobSpec, at_ms: u64, now: MonotonicTime) -> JobRecord {
         let config = Arc::clone(&self.config);
         let accepted = self.recently_accepted_by_shard(now);
@@ -229,10 +236,10 @@
         record
     }
 
-    /// Size of the work accepted here lately, by shard.
+    /// Size of the recently accepted work of each shard, in machines.
     fn recently_accepted_by_shard(&mut self, now: MonotonicTime) -> BTreeMap<ShardId, f64> {
         self.recently_accepted
-            .retain(|work| now.since(work.accepted_at) < ACCEPTED_LATELY);
+            .retain(|work| now.since(work.accepted_at) < DIGEST_LAG);
         let mut by_shard: BTreeMap<ShardId, f64> = BTreeMap::new();
         for work in &self.recently_accepted {
             *by_shard.entry(work.shard).or_default() += work.size;
@@ -242,12 +249,12 @@
 
     fn note_accepted_job(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
         let size = shard_selection::size(config, &record.spec);
-        let one_task = size / f64::from(record.spec.tasks.max(1));
-        let mut rest = size;
+        let task_size = size / f64::from(record.spec.tasks.max(1));
+        let mut remaining = size;
         for transfer in &record.transferred {
             let tasks = record.transferred_tasks(transfer).len();
-            let size = one_task * f64::from(tasks);
-            rest -= size;
+            let size = task_size * f64::from(tasks);
+            remaining -= size;
             self.recently_accepted.push(AcceptedWork {
                 accepted_at: now,
                 shard: transfer.shard,
@@ -257,7 +264,7 @@
         self.recently_accepted.push(AcceptedWork {
             accepted_at: now,
             shard: record.shard,
-            size: rest,
+            size: remaining,
         });
     }
 }
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -1,5 +1,5 @@
-//! Digests: those that this controller makes of its shards, and what it learns
-//! from other controllers'.
+//! Digests: those that this controller makes of its led shards, and those that it receives
+//! from other controllers.
 
 use super::controller_state::{ControllerState, OwnDigests, ReceivedDigest};
 use pulleywood_protocol::peer::{Digest, ShardDigest};
@@ -9,27 +9,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Former processes remembered, so that late copies of their digests are recognized.
-const MAX_FORMER: usize = 64;
-/// Peers' digests are believed for this long.
-const FRESH_DIGEST: Duration = Duration::from_secs(4);
-/// Digests of the led shards are kept for this long.
-const OWN_DIGESTS_AGE: Duration = Duration::from_millis(300);
+/// Largest number of boot numbers kept to recognize late digests of replaced processes.
+const MAX_FORMER_BOOTS: usize = 64;
+/// Age from which a peer's digest is no longer used.
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(4);
+/// Age from which the cached digests of led shards are made again.
+const MAX_OWN_DIGESTS_AGE: Duration = Duration::from_millis(300);
 
 impl ControllerState {
-    /// Digests of the led shards, kept for some tenths of a second: they go to every peer,
-    /// every submission needs them, and making one reads every machine of the shard.
+    /// Digests of the loaded shards that this controller leads. They are cached for a short
+    /// time, because every submission and every message to a peer needs them, and making one
+    /// reads every machine of the shard.
     pub fn led_shard_digests(&mut self, now: MonotonicTime) -> Vec<Arc<ShardDigest>> {
-        let kept = &self.own_digests;
+        let cached = &self.own_digests;
         let loaded = self
             .led_shards
             .iter()
             .filter(|(_, led)| led.loaded)
-            .map(|(p, _)| *p);
-        if now.since(kept.made_at) < OWN_DIGESTS_AGE
-            && loaded.eq(kept.digests.iter().map(|d| d.shard))
+            .map(|(shard, _)| *shard);
+        if now.since(cached.made_at) < MAX_OWN_DIGESTS_AGE
+            && loaded.eq(cached.digests.iter().map(|d| d.shard))
         {
-            return kept.digests.clone();
+            return cached.digests.clone();
         }
         self.update_machine_type_demand(now);
         let loaded = self.led_shards.values().filter(|led| led.loaded);
@@ -41,23 +42,23 @@
         self.own_digests.digests.clone()
     }
 
-    /// Updates each shard's state with the machine types that waiting work may use, here
-    /// and in other shards.
+    /// Updates each led shard with the sets of machine types that waiting work of all shards
+    /// may use.
     pub(super) fn update_machine_type_demand(&mut self, now: MonotonicTime) {
         if self.config.flavors.len() < 2 {
             return;
         }
         let config = &self.config;
-        let fresh = self.digests.values();
-        let fresh = fresh.filter(|d| d.is_fresh(now, FRESH_DIGEST));
-        let shards = fresh.flat_map(|d| &d.digest.shards);
+        let received = self.digests.values();
+        let fresh = received.filter(|received| received.is_fresh(now, MAX_DIGEST_AGE));
+        let shards = fresh.flat_map(|received| &received.digest.shards);
         for demand in shards.flat_map(|shard| &shard.demand) {
             self.machine_type_demand
                 .note(machine_types::of_demand(config, demand), now);
         }
         for led in self.led_shards.values() {
             let jobs = led.state.jobs.values();
-            for job in jobs.filter(|j| !j.waiting.is_empty()) {
+            for job in jobs.filter(|job| !job.waiting.is_empty()) {
                 self.machine_type_demand
                     .note(machine_types::of_job(config, &job.spec), now);
             }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// All fresh digests of led shards, this controller's included.
+    /// Digests of the shards that this controller leads, and of those in its peers' recent
+    /// digests.
     pub fn fresh_shard_digests(
         &mut self,
         now: MonotonicTime,
@@ -76,21 +78,21 @@
         let mut all: BTreeMap<ShardId, Arc<ShardDigest>> = self
             .digests
             .values()
-            .filter(|d| d.is_fresh(now, FRESH_DIGEST))
-            .flat_map(|d| d.digest.shards.iter().cloned())
-            .map(|p| (p.shard, p))
+            .filter(|received| received.is_fresh(now, MAX_DIGEST_AGE))
+            .flat_map(|received| received.digest.shards.iter().cloned())
+            .map(|digest| (digest.shard, digest))
             .collect();
         all.extend(
             self.led_shard_digests(now)
                 .into_iter()
-                .map(|p| (p.shard, p)),
+                .map(|digest| (digest.shard, digest)),
         );
         all
     }
 
-    /// Puts another controller's digest, unless it is a late copy.
+    /// Stores a peer's digest, unless it is older than the stored one.
     pub fn put_digest(&mut self, digest: Digest, now: MonotonicTime) {
-        // The network may have held it back, or bring a copy of it again.
+        // The network may deliver a digest late or more than once.
         let former = self.former_boots.iter().any(|boot| *boot == digest.boot);
         match self.digests.get(&digest.member) {
             _ if former => return,
@@ -101,18 +103,18 @@
             }
             Some(ReceivedDigest { digest: known, .. }) if known.boot != digest.boot => {
                 self.former_boots.push_back(known.boot);
-                self.former_boots.truncate(MAX_FORMER);
+                self.former_boots.truncate(MAX_FORMER_BOOTS);
             }
             _ => {}
         }
-        // Another controller leads a shard with a newer fencing token: this one lost it
-        // without having heard so. The sooner it stops answering that shard's workers,
-        // the sooner the new leader may place their tasks.
+        // A peer that serves a shard with a newer fencing token has taken it over, though
+        // this controller has not seen that in the store yet. The sooner it stops answering
+        // the shard's workers, the sooner the new leader may place their tasks.
         self.led_shards.retain(|shard, led| {
-            let lost = |(p, fencing_token): &(ShardId, FencingToken)| {
-                p == shard && *fencing_token > led.state.fencing_token
+            let taken_over = |(served, fencing_token): &(ShardId, FencingToken)| {
+                served == shard && *fencing_token > led.state.fencing_token
             };
-            !digest.serving.iter().any(lost)
+            !digest.serving.iter().any(taken_over)
         });
         let received = ReceivedDigest {
             digest,
@@ -123,10 +125,12 @@
         self.update_usage_by_other_shards();
     }
 
-    /// A peer said which shards it serves, when asked at `sent` or later. A previous leader
-    /// that no longer answers workers with its fencing token, or whose process has ended,
-    /// has answered none since: their leases expire within a lease from now. Its digests do
-    /// not show that: one from before it led the shard says the same, and may come late.
+    /// Applies a peer's response that lists the shards it serves; the request was sent at
+    /// `sent`. If the peer was the previous leader of a led shard and no longer answers the
+    /// shard's workers under its former fencing token, or its process has ended, it answers
+    /// none of them any more, so their leases expire within one lease from now. A digest of
+    /// the peer does not prove that: one from before it led the shard lists the same shards,
+    /// and may arrive late.
     pub fn apply_served_shards(
         &mut self,
         peer: &MemberId,
@@ -148,25 +152,26 @@
         }
     }
 
-    /// Updates each shard's state with what other shards use.
+    /// Updates each led shard with the slots that other controllers' shards use, by team.
     pub(super) fn update_usage_by_other_shards(&mut self) {
-        let mut elsewhere: BTreeMap<String, pulleywood_protocol::record::Slots> = BTreeMap::new();
+        let mut used_by_others: BTreeMap<String, pulleywood_protocol::record::Slots> =
+            BTreeMap::new();
         for ReceivedDigest { digest, .. } in self.digests.values() {
-            for shard in digest
+            for shard_digest in digest
                 .shards
                 .iter()
-                .filter(|p| !self.led_shards.contains_key(&p.shard))
+                .filter(|shard_digest| !self.led_shards.contains_key(&shard_digest.shard))
             {
-                for (team, slots) in &shard.used {
+                for (team, slots) in &shard_digest.used {
                     pulleywood_scheduler::resources::add(
-                        elsewhere.entry(team.clone()).or_default(),
+                        used_by_others.entry(team.clone()).or_default(),
                         *slots,
                     );
                 }
             }
         }
         for led in self.led_shards.values_mut() {
-            led.state.elsewhere.clone_from(&elsewhere);
+            led.state.elsewhere.clone_from(&used_by_others);
         }
     }
 }
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -1,4 +1,4 @@
-//! Changes of stored records that the watch brings.
+//! Applying the changes of stored records that the watch delivers.
 
 use super::{
     ControllerState, DeferredChange, JobEntry, Versioned, decode_job_batch, decode_machine_batch,
@@ -13,22 +13,23 @@
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, Revision, ShardId, cbor};
 use std::sync::Arc;
 
-/// One watched change of a known key.
+/// A change of one watched key.
 struct Change<'a> {
     path: &'a str,
-    /// The value written; none if the key was deleted.
+    /// The value written; `None` if the key was deleted.
     value: Option<&'a cbor::Value>,
     revision: Revision,
     now: MonotonicTime,
 }
 
 impl Change<'_> {
-    /// The record written, if there is one and it can be read.
-    fn read<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
+    /// Decodes the written record; `None` if the key was deleted or it cannot be decoded.
+    fn decode<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         decode_record(self.value, self.path)
     }
 
-    /// The entry of a job whose record (chunk 0) or continuation changed.
+    /// What is stored of a job after its record (chunk 0) or a continuation changed; `None`
+    /// if a continuation was deleted or cannot be decoded.
     fn job_entry(&self, chunk: u32) -> Option<JobEntry> {
         match (self.value, chunk) {
             (Some(value), _) => JobEntry::decode(chunk, value, self.path),
@@ -37,17 +38,17 @@
         }
     }
 
-    /// Puts the head of job batches or machine batches, unless a newer one is known: this
-    /// controller may have written the next batch.
+    /// Replaces the head of the job batches or machine batches, unless a newer one is known:
+    /// this controller may have written the next batch.
     fn put_head(&self, head: &mut Versioned<BatchHead>) {
         if self.revision > head.revision {
-            *head = Versioned::new(self.read().unwrap_or_default(), self.revision);
+            *head = Versioned::new(self.decode().unwrap_or_default(), self.revision);
         }
     }
 }
 
 impl ControllerState {
-    /// Applies one watched change.
+    /// Applies one event of the watch.
     pub fn apply_event(&mut self, event: Event, now: MonotonicTime) {
         let (path, written) = match (&event.write, &event.delete) {
             (Some(path), _) => (path.clone(), true),
@@ -66,25 +67,25 @@
             Key::FencingToken => self.fencing_token_changed(&change),
             Key::CoordinatorLease => self.coordinator_lease_changed(&change),
             Key::ShardLeader(shard) => self.shard_leader_changed(shard, &change),
-            // Read when a shard is acquired.
+            // Not cached: it is read when a shard is acquired.
             Key::PreviousLeader(_) => {}
             Key::Quota(shard) => self.quota_changed(shard, &change),
             Key::MachineBatchHead => change.put_head(&mut self.cached.machine_batch_head),
-            Key::MachineBatch(n) => self.machine_batch_changed(n, &change),
+            Key::MachineBatch(number) => self.machine_batch_changed(number, &change),
             Key::Job(_, id, chunk) => self.job_changed(&id, chunk, &change),
             Key::JobBatchHead => change.put_head(&mut self.cached.job_batch_head),
-            Key::JobBatch(n) => self.job_batch_changed(n, &change),
+            Key::JobBatch(number) => self.job_batch_changed(number, &change),
         }
     }
 
     fn layout_changed(&mut self, change: &Change<'_>) {
-        self.cached.layout = change.read();
+        self.cached.layout = change.decode();
         let shards = self.cached.shard_count().unwrap_or(0);
         Arc::make_mut(&mut self.config).shards = shards;
     }
 
     fn fencing_token_changed(&mut self, change: &Change<'_>) {
-        if let Some(counter) = change.read::<FencingTokenCounter>()
+        if let Some(counter) = change.decode::<FencingTokenCounter>()
             && change.revision > self.cached.fencing_token.revision
         {
             self.cached.fencing_token = Versioned::new(counter.last, change.revision);
@@ -93,12 +94,12 @@
 
     fn coordinator_lease_changed(&mut self, change: &Change<'_>) {
         self.cached.coordinator_lease = change
-            .read()
+            .decode()
             .map(|holder| Versioned::new(holder, change.revision));
     }
 
     fn shard_leader_changed(&mut self, shard: ShardId, change: &Change<'_>) {
-        let holder = change.read::<LeaseHolder>();
+        let holder = change.decode::<LeaseHolder>();
         self.remove_lost_shard(shard, change.revision);
         match holder {
             Some(holder) => {
@@ -114,17 +115,17 @@
     }
 
     fn quota_changed(&mut self, shard: ShardId, change: &Change<'_>) {
-        if let Some(record) = change.read::<QuotaRecord>() {
+        if let Some(record) = change.decode::<QuotaRecord>() {
             self.put_quota(shard, record, change.revision);
         }
     }
 
-    fn machine_batch_changed(&mut self, n: u64, change: &Change<'_>) {
+    fn machine_batch_changed(&mut self, number: u64, change: &Change<'_>) {
         match change.value {
-            None => self.put_machine_batch(n, None, change.revision, change.now),
+            None => self.put_machine_batch(number, None, change.revision, change.now),
             Some(value) => {
                 if let Some(record) = decode_machine_batch(value, change.path) {
-                    self.put_machine_batch(n, Some(record), change.revision, change.now);
+                    self.put_machine_batch(number, Some(record), change.revision, change.now);
                 }
             }
         }
@@ -160,19 +161,19 @@
         }
     }
 
-    fn job_batch_changed(&mut self, n: u64, change: &Change<'_>) {
+    fn job_batch_changed(&mut self, number: u64, change: &Change<'_>) {
         match change.value {
-            None => self.put_job_batch(n, None, change.revision, change.now),
+            None => self.put_job_batch(number, None, change.revision, change.now),
             Some(value) => {
                 if let Some(record) = decode_job_batch(value, change.path) {
-                    self.put_job_batch(n, Some(record), change.revision, change.now);
+                    self.put_job_batch(number, Some(record), change.revision, change.now);
                 }
             }
         }
     }
 
-    /// Applies a change of a job to the led shards, or defers it for those that are
-    /// still being loaded.
+    /// Applies a change of a job to the loaded shards, and defers it for those that are still
+    /// being loaded.
     pub(super) fn apply_to_led_shards(
         &mut self,
         id: &JobId,
@@ -181,10 +182,10 @@
         now: MonotonicTime,
     ) {
         let config = Arc::clone(&self.config);
-        // Shards that are still being loaded do not know of own transactions.
-        let known = self.has_own_write_since(id, revision);
+        // This controller's own transactions are applied to loaded shards only.
+        let already_applied = self.has_own_write_since(id, revision);
         for led in self.led_shards.values_mut() {
-            if led.loaded && known {
+            if led.loaded && already_applied {
                 continue;
             }
             if led.loaded {
@@ -199,10 +200,10 @@
         }
     }
 
-    /// A job batch as stored, or its end.
+    /// Applies a job batch as stored; `None` if it was deleted.
     pub(super) fn put_job_batch(
         &mut self,
-        n: u64,
+        number: u64,
         record: Option<JobBatchRecord>,
         revision: Revision,
         now: MonotonicTime,
@@ -212,8 +213,8 @@
             self.cached.live_jobs.entry(id.clone()).or_insert(0);
             self.apply_to_led_shards(&id, &JobEntry::Unreadable, revision, now);
         }
-        let (new, left) = self.cached.job_batches.put(n, record, revision);
-        for record in new {
+        let (added, removed) = self.cached.job_batches.put(number, record, revision);
+        for record in added {
             let id = record.spec.id.clone();
             if !self.has_own_write_since(&id, revision) {
                 self.cached.live_jobs.entry(id.clone()).or_insert(0);
@@ -222,13 +223,14 @@
         }
         self.cached
             .removed_from_batches
-            .extend(left.into_iter().map(|id| (id, revision)));
+            .extend(removed.into_iter().map(|id| (id, revision)));
     }
 
-    /// All changes of some revisions have been applied: a job that left its job batch
-    /// and has no record of its own is final. Its record may come before or after the
-    /// job batch's change, though both are of one transaction.
-    pub fn apply_job_batches(&mut self, now: MonotonicTime) {
+    /// Ends each job that has been removed from its job batch and has no record of its own.
+    /// Call this only when all changes of a revision have been applied: the job's own record
+    /// and the change of its job batch are written in one transaction, but the watch may
+    /// deliver them in either order.
+    pub fn end_jobs_removed_from_batches(&mut self, now: MonotonicTime) {
         for (id, revision) in std::mem::take(&mut self.cached.removed_from_batches) {
             if self.cached.jobs_with_own_record.contains(&id)
                 || self.cached.job_batches.find(&id).is_some()
@@ -240,57 +242,59 @@
         }
     }
 
-    /// A shard's leadership key changed after it was acquired here: it is no longer led.
+    /// Removes a led shard if its leadership key has changed since this controller acquired
+    /// it.
     pub(super) fn remove_lost_shard(&mut self, shard: ShardId, revision: Revision) {
         self.led_shards
-            .retain(|p, led| *p != shard || led.revision >= revision);
+            .retain(|id, led| *id != shard || led.revision >= revision);
     }
 
-    /// The cached state is complete up to this revision.
+    /// Marks the cached state as complete up to this revision, and drops what was kept only
+    /// until the watch reached it.
     pub fn advance_revision(&mut self, store_revision: u64, now: MonotonicTime) {
-        self.apply_job_batches(now);
+        self.end_jobs_removed_from_batches(now);
         self.cached.store_revision = self.cached.store_revision.max(store_revision);
-        let upto = self.cached.store_revision;
-        self.cached.job_batches.forget(upto);
-        self.cached.machine_batches.forget(upto);
-        self.own_writes.retain(|_, at| at.0 > upto);
+        let complete_to = self.cached.store_revision;
+        self.cached.job_batches.forget(complete_to);
+        self.cached.machine_batches.forget(complete_to);
+        self.own_writes.retain(|_, at| at.0 > complete_to);
     }
 
-    /// A shard's quotas as stored.
-    pub fn put_quota(&mut self, p: ShardId, record: QuotaRecord, revision: Revision) {
+    /// Applies the stored quotas of a shard, unless newer ones are known.
+    pub fn put_quota(&mut self, shard: ShardId, record: QuotaRecord, revision: Revision) {
         if self
             .cached
             .quotas
-            .get(&p)
+            .get(&shard)
             .is_some_and(|known| known.revision >= revision)
         {
             return;
         }
-        if let Some(led) = self.led_shards.get_mut(&p) {
+        if let Some(led) = self.led_shards.get_mut(&shard) {
             led.state.quotas = record.clone();
             led.state.disturb();
         }
         self.cached
             .quotas
-            .insert(p, Versioned::new(record, revision));
+            .insert(shard, Versioned::new(record, revision));
     }
 
-    /// A machine batch as stored, or its end.
+    /// Applies a machine batch as stored; `None` if it was deleted.
     pub(super) fn put_machine_batch(
         &mut self,
-        n: u64,
+        number: u64,
         record: Option<MachineBatchRecord>,
         revision: Revision,
         now: MonotonicTime,
     ) {
-        let Some(changed) = self.cached.machine_batches.put(n, record, revision) else {
+        let Some(changed) = self.cached.machine_batches.put(number, record, revision) else {
             return;
         };
         for (id, record) in changed.held {
             self.cached.unreadable_machines.remove(&id);
             self.put_machine(&id, record, revision, now);
         }
-        if let Some((machine_batch, _)) = self.cached.machine_batches.get(n) {
+        if let Some((machine_batch, _)) = self.cached.machine_batches.get(number) {
             let unreadable = machine_batch.unreadable.keys().cloned();
             self.cached.unreadable_machines.extend(unreadable);
         }
@@ -303,7 +307,7 @@
         }
     }
 
-    /// A machine's record as stored.
+    /// Applies the stored record of a machine, unless a newer one is known.
     pub(super) fn put_machine(
         &mut self,
         id: &MachineId,
@@ -315,7 +319,7 @@
             .cached
             .machines
             .get(id)
-            .is_some_and(|(_, s)| *s >= revision)
+            .is_some_and(|(_, known)| *known >= revision)
         {
             return;
         }
@@ -329,10 +333,10 @@
                 .get(id)
                 .is_some_and(|m| m.revision < revision)
             {
-                // Only this leader's own transaction moves it away, while idle. A shard
-                // that was just loaded may know a newer record than the watch: dropped
-                // for an older one, the machine would come back as one on which no
-                // previous leader launched anything.
+                // Only a transaction of this leader moves a machine to another shard, while
+                // it is idle. A shard that was just loaded may have a newer record than the
+                // watch: if an older record dropped the machine, it would be added again as
+                // one on which no previous leader launched anything.
                 led.state.drop_machine(id);
             }
         }
--- a/crates/pulleywood-controller/src/state/final_states.rs
+++ b/crates/pulleywood-controller/src/state/final_states.rs
@@ -1,13 +1,14 @@
-//! Final states of jobs that this controller wrote or read lately.
+//! Cache of the final states of jobs that this controller wrote or read most recently.
 
 use pulleywood_protocol::JobId;
 use pulleywood_protocol::record::FinalRecord;
 use std::collections::{HashMap, VecDeque};
 
-/// Most final states kept.
+/// Largest number of cached final states.
 const CAPACITY: usize = 5000;
 
-/// A bounded memory of final states, which never change.
+/// A bounded FIFO cache of final states. Entries need no invalidation, as a final state
+/// never changes.
 #[derive(Default)]
 pub struct FinalStateCache {
     states: HashMap<JobId, FinalRecord>,
@@ -15,19 +16,19 @@
 }
 
 impl FinalStateCache {
-    /// Keeps one; the oldest is dropped if there are too many.
+    /// Caches the final state of a job; evicts the oldest entry if the cache is full.
     pub fn insert(&mut self, id: &JobId, state: FinalRecord) {
         if self.states.insert(id.clone(), state).is_none() {
             self.insertion_order.push_back(id.clone());
         }
         if self.insertion_order.len() > CAPACITY
-            && let Some(old) = self.insertion_order.pop_front()
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
-            self.states.remove(&old);
+            self.states.remove(&oldest);
         }
     }
 
-    /// The final state of a job, if it is kept.
+    /// Returns the final state of a job if it is cached.
     pub fn get(&self, id: &JobId) -> Option<FinalRecord> {
         self.states.get(id).cloned()
     }
--- a/crates/pulleywood-controller/src/state/lease.rs
+++ b/crates/pulleywood-controller/src/state/lease.rs
@@ -1,12 +1,12 @@
-//! The lease that this controller's keys in the store are attached to.
+//! The session lease, which this controller's leadership keys in the store are attached to.
 
 use pulleywood_protocol::{LeaseId, MonotonicTime};
 
-/// The session lease of this controller, as far as it knows.
+/// The session lease of this controller, as last granted or renewed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SessionLease {
-    /// Its id, once granted.
+    /// Id of the lease; `None` until one is granted and after it has expired.
     pub lease_id: Option<LeaseId>,
-    /// When the last successful renewal was sent.
+    /// When the request of the last successful grant or renewal was sent.
     pub renewed_at: MonotonicTime,
 }
--- a/crates/pulleywood-controller/src/state/led_shard.rs
+++ b/crates/pulleywood-controller/src/state/led_shard.rs
@@ -5,33 +5,34 @@
 use pulleywood_protocol::{JobId, MonotonicTime, Revision};
 use pulleywood_scheduler::ShardState;
 
-/// A change of a job's key that is applied once its shard is loaded.
+/// A change of a job that the watch delivered while its shard was being loaded.
 pub struct DeferredChange {
-    /// The job.
+    /// Id of the changed job.
     pub id: JobId,
-    /// Its entry after the change.
+    /// What is stored of the job after the change.
     pub entry: JobEntry,
-    /// Revision of the change.
+    /// Store revision of the change.
     pub revision: Revision,
 }
 
-/// A shard that this controller leads.
+/// State that this controller keeps for a shard that it leads.
 pub struct LedShard {
-    /// Its jobs and machines.
+    /// The shard's jobs and machines, with the leader's scheduling state.
     pub state: ShardState,
-    /// Revision of the shard's leadership key.
+    /// Revision at which this process wrote the shard's leadership key.
     pub revision: Revision,
-    /// Read in full; until then changes of jobs are deferred.
+    /// Whether the shard's records have been read in full. Until then changes of jobs are
+    /// added to `deferred_changes`.
     pub loaded: bool,
-    /// Changes of jobs that the watch brought while the shard was being read.
+    /// Changes of jobs to apply once the shard is loaded.
     pub deferred_changes: Vec<DeferredChange>,
-    /// Being handed over to another controller: nothing is launched.
+    /// Whether the shard is being handed over to another controller: nothing is launched.
     pub handing_over: bool,
-    /// When this process acquired the leadership.
+    /// When this process acquired the shard.
     pub acquired_at: MonotonicTime,
-    /// Revision of the record that says that every machine the shard had when it was
-    /// acquired is accounted for.
+    /// Revision at which it was recorded that every machine that the shard had when it was
+    /// acquired is accounted for; `None` until then.
     pub reconciled_revision: Option<Revision>,
-    /// The previous leader, while it may still answer workers.
+    /// The previous leader, as long as it may still respond to workers.
     pub previous_leader: Option<LeaseHolder>,
 }
--- a/crates/pulleywood-controller/src/state/linearizable_reads.rs
+++ b/crates/pulleywood-controller/src/state/linearizable_reads.rs
@@ -1,14 +1,15 @@
-//! Linearizable reads for users: many queries share one read of the store.
+//! Linearizable reads for users: concurrent queries share one read of the store.
 
 use parking_lot::{Condvar, Mutex};
 use pulleywood_transport::StoreError;
 use std::time::{Duration, Instant};
 
-/// A query waits this long for the read that it shares.
+/// Longest time that a query waits for the read that it shares.
 const READ_TIMEOUT: Duration = Duration::from_millis(1700);
 
-/// Queries of users that wait for a read begun after they came. Each read answers all
-/// of them, so the load on the store does not grow with the number of users.
+/// Users' queries, each of which waits for a store read that starts after the query
+/// arrived. One read serves all queries that wait when it starts, so the load on the store
+/// does not grow with the number of users.
 #[derive(Default)]
 pub struct LinearizableReads {
     state: Mutex<ReadState>,
@@ -18,18 +19,18 @@
 
 #[derive(Default)]
 struct ReadState {
-    /// Number of the newest query.
+    /// Number of the last query that arrived; queries are numbered from 1.
     last_query: u64,
-    /// Queries up to this one have had their read.
+    /// Queries up to this number have been served by a successful read.
     served_up_to: u64,
-    /// Queries up to this one and after `served` had a read that failed.
+    /// Queries after `served_up_to` and up to this number had a read that failed.
     failed_up_to: u64,
-    /// How long to stay away, if tokens were short.
+    /// When to retry, if the last read failed because the request budget was used up.
     retry_after: Option<Duration>,
 }
 
 impl LinearizableReads {
-    /// Waits until the cached state is surely newer than this call.
+    /// Blocks until the cached state contains every change committed before this call.
     pub fn wait_for_read(&self) -> Result<(), StoreError> {
         let deadline = Instant::now() + READ_TIMEOUT;
         let mut state = self.state.lock();
@@ -51,13 +52,16 @@
                 .wait_until(&mut state, deadline)
                 .timed_out()
             {
-                return Err(StoreError::Unknown("no read in time".into()));
+                return Err(StoreError::Unknown(format!(
+                    "no read of the store within {} ms",
+                    READ_TIMEOUT.as_millis()
+                )));
             }
         }
     }
 
-    /// Waits until a query waits; the number of the newest one, which a read begun
-    /// after this call serves together with all before it.
+    /// Blocks until a query is waiting. Returns the number of the last one: a read that
+    /// starts after this call serves it and all queries before it.
     pub fn wait_for_query(&self) -> u64 {
         let mut state = self.state.lock();
         while state.last_query <= state.served_up_to.max(state.failed_up_to) {
@@ -66,13 +70,13 @@
         state.last_query
     }
 
-    /// The read for all queries up to this one has ended.
-    pub fn finish_read(&self, newest: u64, result: Result<(), &StoreError>) {
+    /// Reports the result of the read for all queries up to `last_query`.
+    pub fn finish_read(&self, last_query: u64, result: Result<(), &StoreError>) {
         let mut state = self.state.lock();
         match result {
-            Ok(()) => state.served_up_to = state.served_up_to.max(newest),
+            Ok(()) => state.served_up_to = state.served_up_to.max(last_query),
             Err(e) => {
-                state.failed_up_to = newest;
+                state.failed_up_to = last_query;
                 state.retry_after = match e {
                     StoreError::Budget(wait) => Some(*wait),
                     _ => None,
--- a/crates/pulleywood-controller/src/state/mod.rs
+++ b/crates/pulleywood-controller/src/state/mod.rs
@@ -1,9 +1,10 @@
-//! What one controller knows, and what its threads share.
+//! In-memory state of one controller, shared by its threads.
 //!
-//! [`ControllerContext`] is shared by all threads; [`ControllerState`] lies behind its
-//! one short lock, with [`CachedState`], the copy of the watched keys, and the
-//! [`LedShard`]s. Nothing in this module does I/O. Queues lie here as well, below the
-//! threads that fill and empty them.
+//! [`ControllerContext`] holds everything that the threads share. [`ControllerState`] is
+//! the part behind its mutex, which is held for short sections only: it contains
+//! [`CachedState`], a copy of the watched keys, and the [`LedShard`]s. Nothing in this
+//! module does I/O. The queues between threads are defined here too, so that the modules
+//! that fill them and those that drain them do not depend on each other.
 
 mod cached_state;
 mod context;
--- a/crates/pulleywood-controller/src/state/own_writes.rs
+++ b/crates/pulleywood-controller/src/state/own_writes.rs
@@ -1,4 +1,5 @@
-//! Outcomes of this controller's own transactions, applied before the watch brings them.
+//! Applying the outcomes of this controller's own transactions before the watch delivers
+//! them.
 
 use super::{ControllerState, Versioned};
 use pulleywood_protocol::job_batch::{BatchHead, JobBatchRecord};
@@ -8,20 +9,20 @@
 use std::sync::Arc;
 
 impl ControllerState {
-    /// A transaction of this controller changed the job at this revision or later.
+    /// Whether a transaction of this controller changed the job at this revision or later.
     pub fn has_own_write_since(&self, id: &JobId, revision: Revision) -> bool {
         self.own_writes.get(id).is_some_and(|at| *at >= revision)
     }
 
-    /// The watch has brought every change up to this revision, and perhaps newer
-    /// ones of the same keys. The outcome of a transaction of this controller at that
-    /// revision is then known already, or out of date, and must not be applied: it could
-    /// bring back jobs that have been cancelled since.
+    /// Whether the watch has delivered every change up to this revision, and perhaps newer
+    /// changes of the same keys. The outcome of a transaction of this controller at that
+    /// revision is then already applied or out of date. It must not be applied again: it
+    /// could bring back jobs that have been cancelled since.
     pub fn watch_reached(&self, revision: Revision) -> bool {
         self.cached.store_revision >= revision.0
     }
 
-    /// A transaction of this controller ended a job.
+    /// Removes a job that a transaction of this controller ended.
     pub fn remove_ended_job(&mut self, id: &JobId, revision: Revision) {
         self.own_writes.insert(id.clone(), revision);
         self.cached.live_jobs.remove(id);
@@ -31,7 +32,8 @@
         }
     }
 
-    /// A transaction of this controller took jobs out of job batches.
+    /// Applies job batches from which a transaction of this controller took jobs; a batch
+    /// without a record was deleted.
     pub fn put_job_batches(
         &mut self,
         job_batches: Vec<(u64, Option<JobBatchRecord>)>,
@@ -41,20 +43,21 @@
         if self.watch_reached(revision) {
             return;
         }
-        for (n, record) in job_batches {
-            self.put_job_batch(n, record, revision, now);
+        for (number, record) in job_batches {
+            self.put_job_batch(number, record, revision, now);
         }
-        self.apply_job_batches(now);
+        self.end_jobs_removed_from_batches(now);
     }
 
-    /// A transaction of this controller gave a job a record of its own.
+    /// Notes that a transaction of this controller gave a job a record of its own.
     pub fn note_own_record(&mut self, id: &JobId, revision: Revision) {
         if !self.watch_reached(revision) {
             self.cached.jobs_with_own_record.insert(id.clone());
         }
     }
 
-    /// A transaction of this controller wrote a job batch, and the job batches' head.
+    /// Applies a job batch and the head of the job batches, as a transaction of this
+    /// controller wrote them.
     pub fn put_written_job_batch(
         &mut self,
         head: BatchHead,
@@ -62,16 +65,17 @@
         revision: Revision,
         now: MonotonicTime,
     ) {
-        // Another controller may have written the next one meanwhile. The watch has
-        // brought its head then: an older one would stay, and every submission that
-        // rests on it would be refused.
+        // Another controller may have written the next batch since, and the watch may have
+        // delivered its head. An older head put in its place would stay, and every
+        // submission conditioned on its revision would be refused.
         if !self.watch_reached(revision) {
             self.cached.job_batch_head = Versioned::new(head, revision);
             self.put_job_batch(head.last, Some(batch), revision, now);
         }
     }
 
-    /// A transaction of this controller wrote a machine batch, and the machine batches' head.
+    /// Applies a machine batch and the head of the machine batches, as a transaction of this
+    /// controller wrote them.
     pub fn put_written_machine_batch(
         &mut self,
         head: BatchHead,
@@ -85,7 +89,8 @@
         }
     }
 
-    /// A transaction of this controller changed machine batches.
+    /// Applies machine batches as a transaction of this controller wrote them; a batch
+    /// without a record was deleted.
     pub fn put_machine_batches(
         &mut self,
         machine_batches: Vec<MachineBatchAfter>,
@@ -95,13 +100,13 @@
         if self.watch_reached(revision) {
             return;
         }
-        for (n, record) in machine_batches {
-            self.put_machine_batch(n, record, revision, now);
+        for (number, record) in machine_batches {
+            self.put_machine_batch(number, record, revision, now);
         }
     }
 
-    /// A job accepted or transferred by a transaction of this controller: led shards know
-    /// it at once.
+    /// Applies the record of a job that a transaction of this controller accepted or
+    /// transferred, so that led shards know it without waiting for the watch.
     pub fn put_job(&mut self, record: &JobRecord, revision: Revision, now: MonotonicTime) {
         if self.watch_reached(revision) {
             return;
--- a/crates/pulleywood-controller/src/state/queues.rs
+++ b/crates/pulleywood-controller/src/state/queues.rs
@@ -1,52 +1,52 @@
-//! Queues that the threads of the interfaces fill and the writers empty.
+//! Queues between the threads that handle requests and the threads that write to the store.
 
 use crate::batch_queue::BatchQueue;
 use pulleywood_protocol::record::{JobRecord, MachineRecord};
 use pulleywood_protocol::{FencingToken, MachineId, ShardId};
 use pulleywood_transport::StoreError;
 
-/// Machines that wait for their record.
+/// Machines that wait for their record to be written.
 pub type RegistrationQueue = BatchQueue<UnregisteredMachine, RegistrationOutcome>;
 
-/// Submissions that wait for a job batch.
+/// Submissions that wait to be written in a job batch.
 pub type SubmissionQueue = BatchQueue<WaitingSubmission, SubmissionOutcome>;
 
-/// A machine without a record, to be registered with a led shard.
+/// A machine without a stored record, which is to be registered with a led shard.
 pub struct UnregisteredMachine {
-    /// The machine.
+    /// Id that the machine's worker sent in its heartbeat.
     pub id: MachineId,
-    /// The shard that it will belong to.
+    /// The led shard that the machine joins.
     pub shard: ShardId,
-    /// Its record but for the fencing token.
+    /// The record to write; its fencing token is set when the batch is prepared.
     pub record: MachineRecord,
-    /// The highest fencing token its worker has seen.
+    /// The highest fencing token that the machine's worker has seen.
     pub highest_seen_token: FencingToken,
 }
 
-/// What became of a registration.
+/// Outcome of a request to register a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegistrationOutcome {
     /// The machine's record is stored.
     Registered,
-    /// Not now: its worker is to try again.
+    /// The machine's record was not stored; its worker has to try again.
     NotRegistered,
 }
 
-/// A submission that waits for a job batch.
+/// A submission that waits to be written in a job batch.
 pub struct WaitingSubmission {
-    /// The job's record.
+    /// Record of the submitted job.
     pub record: JobRecord,
-    /// Bytes of the record within a job batch.
+    /// Encoded size of the record within a job batch.
     pub bytes: usize,
 }
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Debug)]
 pub enum SubmissionOutcome {
-    /// Accepted: the job is stored.
+    /// The job is stored.
     Accepted,
-    /// A job of this id is known already.
+    /// A job with this id exists already, live or ended.
     AlreadyExists,
-    /// Not accepted now.
+    /// The job was not accepted, or it is not known whether it was; the user may retry.
     Refused(StoreError),
 }
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -1,4 +1,4 @@
-//! Reading stored records, and applying a job's entries to the shard that runs it.
+//! Decoding stored records, and applying changes of jobs to the shard that runs them.
 
 use super::LedShard;
 use pulleywood_protocol::job_batch::JobBatchRecord;
@@ -9,37 +9,40 @@
 use pulleywood_scheduler::Config;
 use pulleywood_scheduler::shard::Job;
 
-/// What a job's key holds after a change.
+/// What is stored of a job, or of one of its continuations, after a change.
 #[derive(Debug, Clone)]
 pub enum JobEntry {
-    /// The live record.
+    /// The job's own record, as a live job.
     Record(Box<JobRecord>),
-    /// As it was accepted, in a job batch.
+    /// The record within a job batch, as it was when the job was accepted.
     Batched(Box<JobRecord>),
-    /// A continuation.
+    /// A continuation of the record, with its number, which is at least 1.
     Chunk(u32, ChunkRecord),
-    /// The live record, or the one in a job batch, cannot be read.
+    /// A record that cannot be decoded, whether the job's own or the one in a job batch.
     Unreadable,
-    /// The job has ended.
+    /// No record any more: the job has ended.
     Ended,
 }
 
 impl JobEntry {
-    /// What the record (chunk 0) or continuation of a job holds; none if a continuation
-    /// cannot be read.
+    /// Decodes the record (chunk 0) or a continuation of a job; `None` if a continuation
+    /// cannot be decoded.
     pub(super) fn decode(chunk: u32, value: &cbor::Value, path: &str) -> Option<JobEntry> {
         match chunk {
             0 => Some(match decode_record(Some(value), path) {
                 Some(record) => JobEntry::Record(Box::new(record)),
                 None => JobEntry::Unreadable,
             }),
-            n => decode_record(Some(value), path).map(|record| JobEntry::Chunk(n, record)),
+            number => {
+                decode_record(Some(value), path).map(|record| JobEntry::Chunk(number, record))
+            }
         }
     }
 }
 
 impl LedShard {
-    /// A job's key changed. `old`: an earlier leader may have launched the job.
+    /// Applies a change of a job. `inherited`: a previous leader may have launched tasks of
+    /// the job.
     pub fn apply_job_entry(
         &mut self,
         id: &JobId,
@@ -56,12 +59,14 @@
             JobEntry::Batched(record) => self
                 .state
                 .put_batched_job(record, revision, inherited, now, config),
-            JobEntry::Chunk(n, record) => self.state.put_chunk(id, *n, record, revision, config),
+            JobEntry::Chunk(number, record) => {
+                self.state.put_chunk(id, *number, record, revision, config)
+            }
             JobEntry::Unreadable => self.state.block_job(id),
             JobEntry::Ended => {
                 let blocked = self.state.unreadable_jobs.contains(id);
-                let older = |j: &Job| j.revision < revision;
-                if blocked || self.state.jobs.get(id).is_some_and(older) {
+                let is_older = |job: &Job| job.revision < revision;
+                if blocked || self.state.jobs.get(id).is_some_and(is_older) {
                     self.state.drop_job(id);
                 }
             }
@@ -69,7 +74,8 @@
     }
 }
 
-/// Reads a stored record; one that cannot be read is logged and left alone.
+/// Decodes a stored record. A record that cannot be decoded is logged and left in the store;
+/// `None` for it and for a missing value.
 pub fn decode_record<T: serde::de::DeserializeOwned>(
     value: Option<&cbor::Value>,
     path: &str,
@@ -79,31 +85,32 @@
 
 fn log_unreadable<T, E: std::fmt::Display>(record: Result<T, E>, path: &str) -> Option<T> {
     record
-        .inspect_err(|e| log::error!("record {path} cannot be read: {e}"))
+        .inspect_err(|e| log::error!("failed to decode record {path}: {e}"))
         .ok()
 }
 
-/// Reads a stored job batch; jobs in it that cannot be read are logged.
+/// Decodes a stored job batch; logs each job in it that cannot be decoded.
 pub fn decode_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
     let batch = log_unreadable(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
         let id = pulleywood_protocol::job_batch::job_id(record);
-        let name = id.map_or("one".to_owned(), |id| id.to_string());
-        log::error!("record {path}: job {name} cannot be read");
+        let name = id.map_or("of unknown id".to_owned(), |id| id.to_string());
+        log::error!("failed to decode job {name} in job batch {path}");
     }
     Some(batch)
 }
 
-/// Reads a stored machine batch; machines in it that cannot be read are logged.
+/// Decodes a stored machine batch; logs each machine in it that cannot be decoded.
 pub fn decode_machine_batch(value: &cbor::Value, path: &str) -> Option<MachineBatchRecord> {
     let batch = log_unreadable(MachineBatchRecord::from_value(value), path)?;
     for id in batch.unreadable.keys() {
-        log::error!("record {path}: machine {id} cannot be read");
+        log::error!("failed to decode machine {id} in machine batch {path}");
     }
     Some(batch)
 }
 
-/// A job's record or continuation, as listed.
+/// Decodes a listed item as a job's record or continuation, with the job's id; `None` if it
+/// is another key or a continuation that cannot be decoded.
 pub fn job_entry(item: &Item) -> Option<(JobId, JobEntry)> {
     let Key::Job(_, id, chunk) = Key::parse(&item.path)? else {
         return None;
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! What a controller takes from the watch, its own transactions and its peers.
+//! Tests of how a controller applies the watch, its own transactions and peers' digests.
 
 use super::*;
 use pulleywood_protocol::job_batch::{BatchHead, JobBatchRecord};
@@ -17,8 +17,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn at(s: u64) -> MonotonicTime {
-    MonotonicTime(1_000_000 + s * 1000)
+fn at(second: u64) -> MonotonicTime {
+    MonotonicTime(1_000_000 + second * 1000)
 }
 
 fn controller() -> ControllerState {
@@ -52,11 +52,12 @@
     }
 }
 
-/// Holds shard 0 since second 10, after process 7 of `c-1` under fencing token 3.
-fn taken(controller: &mut ControllerState) {
+/// Makes the controller the leader of shard 0 since second 10, under fencing token 4. The
+/// previous leader is process 7 of `c-1`, under fencing token 3.
+fn lead_shard(controller: &mut ControllerState) {
     let until = at(10) + controller.config.previous_leader_span();
     let state = ShardState::new(ShardId(0), FencingToken(4), until, vec![]);
-    let before = LeaseHolder {
+    let previous = LeaseHolder {
         member: "c-1".into(),
         boot: 7,
         fencing_token: FencingToken(3),
@@ -69,51 +70,51 @@
         handing_over: false,
         acquired_at: at(10),
         reconciled_revision: None,
-        previous_leader: Some(before),
+        previous_leader: Some(previous),
     };
     controller.led_shards.insert(ShardId(0), led);
 }
 
 #[test]
-fn only_an_answer_asked_for_since_proves_that_the_old_leader_stopped() {
-    // A digest from before it held the shard says the same as one from after
-    // it stopped, and the network may bring it late.
-    let lapsed = at(11) + controller().config.lease_surely_expired();
-    let full = at(10) + controller().config.previous_leader_span();
-    type Say = fn(&mut ControllerState);
-    let cases: [(&str, Say, MonotonicTime); 4] = [
+fn only_a_response_requested_after_acquisition_confirms_that_the_previous_leader_stopped() {
+    // A digest from before the peer led the shard lists the same shards as one from after
+    // it stopped, and the network may deliver it late.
+    let one_lease = at(11) + controller().config.lease_surely_expired();
+    let unconfirmed = at(10) + controller().config.previous_leader_span();
+    type Apply = fn(&mut ControllerState);
+    let cases: [(&str, Apply, MonotonicTime); 4] = [
         (
             "a digest",
-            |n| n.put_digest(digest(7, 1, vec![]), at(11)),
-            full,
+            |controller| controller.put_digest(digest(7, 1, vec![]), at(11)),
+            unconfirmed,
         ),
         (
-            "an answer asked for before the take-over",
-            |n| n.apply_served_shards(&"c-1".into(), at(9), at(11), &[]),
-            full,
+            "a response requested before the acquisition",
+            |controller| controller.apply_served_shards(&"c-1".into(), at(9), at(11), &[]),
+            unconfirmed,
         ),
         (
-            "it still answers workers",
-            |n| {
-                n.apply_served_shards(
+            "a response that still lists the shard",
+            |controller| {
+                controller.apply_served_shards(
                     &"c-1".into(),
                     at(11),
                     at(11),
                     &[(ShardId(0), FencingToken(3))],
                 )
             },
-            full,
+            unconfirmed,
         ),
         (
-            "it does not",
-            |n| n.apply_served_shards(&"c-1".into(), at(11), at(11), &[]),
-            lapsed,
+            "a response that does not list the shard",
+            |controller| controller.apply_served_shards(&"c-1".into(), at(11), at(11), &[]),
+            one_lease,
         ),
     ];
-    for (name, say, expected) in cases {
+    for (name, apply, expected) in cases {
         let mut controller = controller();
-        taken(&mut controller);
-        say(&mut controller);
+        lead_shard(&mut controller);
+        apply(&mut controller);
         assert_eq!(
             controller.led_shards[&ShardId(0)]
                 .state
@@ -125,8 +126,8 @@
 }
 
 #[test]
-fn late_copies_of_digests_are_dropped() {
-    // (process, number, taken)
+fn duplicate_and_late_digests_are_ignored() {
+    // (boot, sequence number, stored)
     let cases = [
         (7, 5, true),
         (7, 5, false),
@@ -136,20 +137,22 @@
         (8, 2, true),
     ];
     let mut controller = controller();
-    for (n, (boot, seq, expected)) in cases.into_iter().enumerate() {
-        let now = at(n as u64);
+    for (second, (boot, seq, stored)) in cases.into_iter().enumerate() {
+        let now = at(second as u64);
         controller.put_digest(digest(boot, seq, vec![]), now);
-        let newest = &controller.digests[&MemberId::from("c-1")];
-        assert_eq!(newest.received_at == now, expected, "{boot}/{seq}");
+        let last = &controller.digests[&MemberId::from("c-1")];
+        assert_eq!(last.received_at == now, stored, "{boot}/{seq}");
     }
 }
 
 #[test]
-fn a_machine_that_was_read_is_not_dropped_for_an_older_record() {
-    // (revision of the shard's record, of the watched one of another shard, kept)
-    for (read, watched, kept) in [(50, 45, true), (50, 50, true), (50, 51, false)] {
+fn an_older_watched_record_does_not_drop_an_inherited_machine() {
+    // The shard read the machine's record when it was loaded; then the watch delivers a
+    // record of the same machine in another shard.
+    // (revision read, revision watched, whether the machine stays)
+    for (read, watched, stays) in [(50, 45, true), (50, 50, true), (50, 51, false)] {
         let mut controller = controller();
-        taken(&mut controller);
+        lead_shard(&mut controller);
         let id = MachineId::from("vm-1");
         let record = |shard| MachineRecord {
             shard: ShardId(shard),
@@ -169,8 +172,11 @@
         };
         controller.put_machine_batches(vec![(1, Some(machine_batch))], Revision(watched), at(11));
         let state = &controller.led_shards[&ShardId(0)].state;
-        let unreported = state.machines.get(&id).is_some_and(|m| m.unreported);
-        assert_eq!(unreported, kept, "{read} {watched}");
+        let unreported = state
+            .machines
+            .get(&id)
+            .is_some_and(|machine| machine.unreported);
+        assert_eq!(unreported, stays, "read at {read}, watched at {watched}");
     }
 }
 
@@ -202,12 +208,12 @@
 }
 
 #[test]
-fn answers_to_own_transactions_bring_nothing_back_that_the_watch_has_passed() {
-    // A job is accepted at revision 50 and cancelled through another
-    // controller at 51. The answer to the first may come last.
+fn late_transaction_outcomes_do_not_undo_newer_watched_changes() {
+    // A job is accepted at revision 50 and cancelled through another controller at 51. The
+    // response to the first transaction may arrive after the watch delivered both.
     for late in [false, true] {
         let mut controller = controller();
-        taken(&mut controller);
+        lead_shard(&mut controller);
         let job = record(1);
         let id = job.spec.id.clone();
         let key = pulleywood_protocol::record::job_key(id.shard(2), &id);
@@ -226,44 +232,45 @@
         let state = &controller.led_shards[&ShardId(0)].state;
         assert!(!state.jobs.contains_key(&id), "late: {late}");
     }
-    // A job batch and a machine batch at 60, the next of another controller at 61.
+    // This controller writes a job batch and a machine batch at 60; another controller
+    // writes the next ones at 61.
     for late in [false, true] {
         let mut controller = controller();
-        let (mine, next) = (BatchHead { last: 1 }, BatchHead { last: 2 });
-        let pack = JobBatchRecord {
+        let (own_head, next_head) = (BatchHead { last: 1 }, BatchHead { last: 2 });
+        let batch = JobBatchRecord {
             jobs: vec![record(2)],
             ..Default::default()
         };
-        let say = |controller: &mut ControllerState| {
-            controller.put_written_job_batch(mine, pack.clone(), Revision(60), at(12));
+        let apply_outcomes = |controller: &mut ControllerState| {
+            controller.put_written_job_batch(own_head, batch.clone(), Revision(60), at(12));
             let machine_batch = (1, Some(MachineBatchRecord::default()));
-            controller.put_written_machine_batch(mine, machine_batch, Revision(60), at(12));
+            controller.put_written_machine_batch(own_head, machine_batch, Revision(60), at(12));
         };
         if !late {
-            say(&mut controller);
+            apply_outcomes(&mut controller);
         }
         for head in [
             pulleywood_protocol::record::JOB_BATCH_HEAD,
             pulleywood_protocol::record::MACHINE_BATCH_HEAD,
         ] {
-            controller.apply_event(event(true, head, mine, 60), at(12));
-            controller.apply_event(event(true, head, next, 61), at(12));
+            controller.apply_event(event(true, head, own_head, 60), at(12));
+            controller.apply_event(event(true, head, next_head, 61), at(12));
         }
         let key = pulleywood_protocol::record::job_batch_key(1);
-        controller.apply_event(event(true, &key, &pack, 60), at(12));
+        controller.apply_event(event(true, &key, &batch, 60), at(12));
         controller.apply_event(event(false, &key, 0, 61), at(12));
         controller.advance_revision(61, at(12));
         if late {
-            say(&mut controller);
+            apply_outcomes(&mut controller);
         }
         assert_eq!(
             controller.cached.job_batch_head,
-            Versioned::new(next, Revision(61)),
+            Versioned::new(next_head, Revision(61)),
             "late: {late}"
         );
         assert_eq!(
             controller.cached.machine_batch_head,
-            Versioned::new(next, Revision(61)),
+            Versioned::new(next_head, Revision(61)),
             "late: {late}"
         );
         assert!(!controller.is_live(&record(2).spec.id), "late: {late}");
@@ -271,72 +278,85 @@
 }
 
 #[test]
-fn an_older_change_does_not_bring_back_what_was_transferred_since() {
-    // Shard 0 has a job of its own since revision 50 and transfers all of it at 55.
-    // The watch, which gathers changes, brings 50 alone, and 55 later. Then it
-    // ran in both shards.
+fn an_older_watched_change_does_not_restore_transferred_tasks() {
+    // Shard 0 has a job since revision 50 and transfers all its tasks at 55. The watch
+    // delivers 50 first and 55 later. If the change at 50 restored the tasks, they would
+    // run in both shards.
     for in_batch in [false, true] {
         let mut controller = controller();
-        taken(&mut controller);
+        lead_shard(&mut controller);
         let job = record(1);
         let id = job.spec.id.clone();
         let mut transferred = job.clone();
         transferred.transfer_tasks(ShardId(1), None, &TaskSet::full(1));
         let key = pulleywood_protocol::record::job_key(id.shard(2), &id);
         let job_batch_key = pulleywood_protocol::record::job_batch_key(1);
-        let pack = JobBatchRecord {
+        let batch = JobBatchRecord {
             jobs: vec![job.clone()],
             ..Default::default()
         };
         if in_batch {
             controller.put_written_job_batch(
                 BatchHead { last: 1 },
-                pack.clone(),
+                batch.clone(),
                 Revision(50),
                 at(11),
             );
         } else {
             controller.put_job(&job, Revision(50), at(11));
         }
-        let waits = |controller: &ControllerState| {
+        let has_waiting_tasks = |controller: &ControllerState| {
             let state = &controller.led_shards[&ShardId(0)].state;
-            state.jobs.get(&id).is_some_and(|j| !j.waiting.is_empty())
+            state
+                .jobs
+                .get(&id)
+                .is_some_and(|job| !job.waiting.is_empty())
         };
-        assert!(waits(&controller));
+        assert!(has_waiting_tasks(&controller));
         controller.put_job(&transferred, Revision(55), at(12));
         if in_batch {
             controller.put_job_batches(vec![(1, None)], Revision(55), at(12));
         }
-        assert!(!waits(&controller), "packed: {in_batch}");
+        assert!(
+            !has_waiting_tasks(&controller),
+            "in a job batch: {in_batch}"
+        );
         if in_batch {
-            controller.apply_event(event(true, &job_batch_key, &pack, 50), at(13))
+            controller.apply_event(event(true, &job_batch_key, &batch, 50), at(13))
         } else {
             controller.apply_event(event(true, &key, &job, 50), at(13))
         }
         controller.advance_revision(52, at(13));
         assert!(
-            !waits(&controller),
-            "packed: {in_batch}, after the older change"
+            !has_waiting_tasks(&controller),
+            "in a job batch: {in_batch}, after the older change"
         );
         controller.apply_event(event(true, &key, &transferred, 55), at(14));
         if in_batch {
             controller.apply_event(event(false, &job_batch_key, 0, 55), at(14));
         }
         controller.advance_revision(56, at(14));
-        assert!(!waits(&controller), "packed: {in_batch}, after its own");
+        assert!(
+            !has_waiting_tasks(&controller),
+            "in a job batch: {in_batch}, after the transfer itself"
+        );
         assert!(controller.is_live(&id) && controller.own_writes.is_empty());
-        // Lent back by the other shard, it is this one's again.
+        // The other shard transfers the tasks back.
         controller.apply_event(event(true, &key, &job, 60), at(15));
         controller.advance_revision(60, at(15));
-        assert!(waits(&controller), "packed: {in_batch}, transferred back");
+        assert!(
+            has_waiting_tasks(&controller),
+            "in a job batch: {in_batch}, transferred back"
+        );
     }
 }
 
 #[test]
-fn a_shard_whose_key_changed_is_no_longer_held() {
-    for (revision, held) in [(39, true), (40, true), (41, false)] {
+fn a_shard_is_removed_when_its_leadership_key_changes_after_acquisition() {
+    // The shard was acquired at revision 40. (revision of the change, whether it stays led)
+    for (revision, led) in [(39, true), (40, true), (41, false)] {
         let mut controller = controller();
-        taken(&mut controller);
+        lead_shard(&mut controller);
         let event = Event {
             write: None,
             delete: Some("c/part/0".into()),
@@ -346,16 +366,17 @@
         controller.apply_event(event, at(12));
         assert_eq!(
             controller.led_shards.contains_key(&ShardId(0)),
-            held,
+            led,
             "{revision}"
         );
     }
 }
 
 #[test]
-fn workers_are_answered_only_while_a_cancellation_can_still_be_obeyed() {
-    // Out of contact since second 0; a worker expires a lease after the
-    // last answer, and a cancellation told elsewhere has cancel_s.
+fn workers_are_answered_only_while_cancellations_take_effect_in_time() {
+    // The controller is out of contact with the store since second 0. Another controller
+    // may confirm a cancellation right after that, which must take effect within cancel_s.
+    // A worker kills its tasks one lease after the last heartbeat that was answered.
     let mut controller = controller();
     controller.cache_loaded = true;
     controller.lease.lease_id = Some(LeaseId(1));
@@ -364,25 +385,26 @@
     let (lease, cancel) = (controller.config.lease, controller.config.cancel);
     let last = (0..100_000)
         .map(|ms| at(0) + Duration::from_millis(ms))
-        .take_while(|&t| controller.may_answer(t))
+        .take_while(|&time| controller.may_answer(time))
         .last()
         .unwrap();
     assert!(last + lease < at(0) + cancel);
     assert!(
         last > at(0) + (cancel - lease) / 2,
-        "tasks live through outages"
+        "workers are answered for most of the time allowed, so that tasks survive outages"
     );
     assert!(
         !controller.may_act(controller.lease_end()),
-        "nothing is launched past it"
+        "nothing is launched after the session lease has ended"
     );
     assert!(controller.lease_end() < last);
 }
 
 #[test]
-fn nothing_is_launched_on_an_old_view_though_the_lease_lasts() {
-    // The state service refuses this controller alone: it may not know of
-    // cancellations that others told their users. (Age of the cached state in ms, launches)
+fn a_stale_cached_state_stops_launches_while_the_session_lease_is_valid() {
+    // If the state service refuses only this controller, it may not know of cancellations
+    // that other controllers confirmed to their users.
+    // (age of the cached state in milliseconds, whether launches are allowed)
     for (ms, launches) in [(0, true), (1500, true), (2900, true), (3000, false)] {
         let mut controller = controller();
         controller.cache_loaded = true;
@@ -396,10 +418,11 @@
 }
 
 #[test]
-fn answers_end_in_time_for_every_lease_and_cancellation() {
-    // (lease, cancel) in seconds, margins that do not fit included. The span is
-    // counted from the older of the last renewal and the last read, whichever that
-    // is; a worker expires a lease after the heartbeat that was answered last.
+fn answering_stops_in_time_for_every_worker_lease_and_cancellation_limit() {
+    // (worker's lease, limit of cancellations) in seconds, including pairs that leave no
+    // room for the margins. The span is counted from the older of the last renewal and the
+    // last read. A worker kills its tasks one lease after the last heartbeat that was
+    // answered.
     let cases = [
         (10.0, 40.0),
         (16.0, 36.0),
@@ -422,19 +445,21 @@
             controller.lease.renewed_at = at(renewed);
             controller.cache_current_as_of = at(read);
             let contact = at(100);
-            let gone = contact + controller.config.cancel;
+            let cancelled_by = contact + controller.config.cancel;
             let span = controller.config.answer_span();
-            let name = format!("{lease} {cancel}, renewed {renewed}, read {read}");
+            let name = format!("lease {lease}, cancel {cancel}, renewed {renewed}, read {read}");
             assert!(!controller.may_answer(contact + span), "{name}");
             if span > Duration::ZERO {
                 let last = contact + span - Duration::from_millis(1);
                 assert!(controller.may_answer(last), "{name}");
-                // Drift and the time that an answer takes are covered.
-                let lapsed = last + controller.config.lease_surely_expired();
-                assert!(lapsed < gone, "{name}");
-                // No more is given away than the margins.
-                let given = gone.since(last + controller.config.lease).as_secs_f64();
-                assert!(given < 1.3 + 0.001 * cancel, "{name}: {given}");
+                // Clock drift and the time that a response takes are covered.
+                let killed_by = last + controller.config.lease_surely_expired();
+                assert!(killed_by < cancelled_by, "{name}");
+                // The span is shorter than the limit allows by no more than the margins.
+                let unused_s = cancelled_by
+                    .since(last + controller.config.lease)
+                    .as_secs_f64();
+                assert!(unused_s < 1.3 + 0.001 * cancel, "{name}: {unused_s}");
             } else {
                 assert!(cancel <= lease + 1.3, "{name}");
             }
