--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -1,9 +1,9 @@
 //! Acquiring the leadership of a shard.
 //!
-//! One transaction draws a new fencing token, attaches the shard's leadership key to
-//! this controller's session lease and replaces the record of the previous leader. It
-//! rests on the revision of the quota as well, which must not be older than the last
-//! shrink: others may have grown by what was freed.
+//! One transaction draws a new fencing token, attaches the shard's leadership key to this
+//! controller's session lease and replaces the record of the previous leader. It is also
+//! conditioned on the revision of the shard's quota: a quota from before the last shrink must
+//! not be used, as other shards may have been given what the shrink freed.
 
 use super::load::load;
 use crate::clock::time_of_day_ms;
@@ -21,41 +21,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The record of the previous leader: none if there was none, or if it cannot be read.
+/// The record of the previous leader; `None` if there was none or it cannot be decoded.
 type PreviousLeader = Versioned<Option<PreviousLeaseHolder>>;
 
-/// One attempt to acquire a shard.
+/// An attempt to acquire a shard that is ready to be committed.
 struct PreparedAcquire {
     shard: ShardId,
     lease_id: LeaseId,
     holder: LeaseHolder,
     previous: Option<PreviousLeaseHolder>,
-    /// The quota that is written because the shard has none yet.
+    /// The quota to write if the shard has none yet.
     first_quota: Option<QuotaRecord>,
     config: Arc<Config>,
     transaction: Transaction,
 }
 
-/// How an attempt ended in the store.
+/// Outcome of an attempt in the store.
 enum AcquireOutcome {
     /// The leadership key was written at this revision.
     Acquired(Revision),
-    /// It was not, or another holds the key.
+    /// The key was not written, or another process holds it.
     NotAcquired,
 }
 
-/// What became of an acquired shard in the controller state.
+/// Outcome of applying an acquired shard to the controller state.
 enum ApplyOutcome {
-    /// This controller leads it.
+    /// This controller leads the shard.
     Led,
-    /// The leadership has ended since.
+    /// The leadership has ended since the transaction was committed.
     Ended,
 }
 
-/// Until when earlier leaders' launches may still start tasks, and the one leader who
-/// can say sooner that it launches no more.
+/// How long tasks launched by previous leaders may be running without this controller
+/// knowing of them.
 struct PreviousLaunches {
+    /// Until then a machine that has sent this controller no heartbeat may run such tasks.
     until: MonotonicTime,
+    /// The only leader concerned, which can shorten the wait by confirming that it no longer
+    /// answers workers; `None` if there is no such leader.
     leader: Option<LeaseHolder>,
 }
 
@@ -117,8 +120,8 @@
         .when(previous_leader_key(shard), previous.revision)
         .hold(shard_leader_key(shard), &holder, lease_id)
         .write(previous_leader_key(shard), &next_previous)
-        // A cached state that was read in pages may know the shard as vacant and its
-        // quota as it was before the last shrink.
+        // A cached state that was read in several pages may show the shard as vacant and
+        // still have its quota from before the last shrink.
         .when(quota_key(shard), quota_revision.unwrap_or_default());
     let first_quota = quota_revision
         .is_none()
@@ -145,7 +148,7 @@
         {
             Ok(Outcome::Applied(revision)) => Ok(AcquireOutcome::Acquired(revision)),
             Ok(Outcome::Conflict) => {
-                // Most likely another shard was acquired at this moment.
+                // Most likely another controller drew a fencing token at the same time.
                 std::thread::sleep(Duration::from_millis(fastrand::u64(5..60)));
                 Ok(AcquireOutcome::NotAcquired)
             }
@@ -154,20 +157,21 @@
         }
     }
 
-    /// If the transaction was applied, the leadership key names this attempt.
+    /// Reads the leadership key, which names this attempt's holder and fencing token if the
+    /// transaction was applied.
     fn read_outcome(&self, context: &ControllerContext) -> Result<AcquireOutcome, StoreError> {
         let key = shard_leader_key(self.shard);
         let item = context.store.get(RequestPriority::ShardLeader, &key)?;
-        let ours = item.filter(|item| {
+        let own_key = item.filter(|item| {
             decode_record::<LeaseHolder>(Some(&item.value), &item.path).as_ref()
                 == Some(&self.holder)
         });
-        Ok(ours.map_or(AcquireOutcome::NotAcquired, |item| {
+        Ok(own_key.map_or(AcquireOutcome::NotAcquired, |item| {
             AcquireOutcome::Acquired(item.revision)
         }))
     }
 
-    /// Makes this controller the leader in its own state.
+    /// Adds the shard to the shards that this controller leads.
     fn apply(self, context: &ControllerContext, revision: Revision) -> ApplyOutcome {
         let now = context.clock.now();
         let previous_launches = self.previous_launches(context, now);
@@ -214,10 +218,11 @@
         ApplyOutcome::Led
     }
 
-    /// Workers that heartbeat to nobody: the previous leader may answer them for a while
-    /// after its last contact, unless its process is known to have ended. If it had not
-    /// accounted for all machines itself, leaders before it may too, also when the
-    /// previous leader was this controller's former process.
+    /// How long workers that send this controller no heartbeats may run tasks of previous
+    /// leaders. The previous leader may answer workers for some time after its last contact
+    /// with the store, unless its process is known to have ended. If it had not accounted
+    /// for all machines itself, leaders before it may still answer workers too, even if the
+    /// previous leader was a former process of this controller.
     fn previous_launches(
         &self,
         context: &ControllerContext,
@@ -247,8 +252,8 @@
     }
 }
 
-/// The watch may have brought the end of the leadership already, and does not bring it
-/// again.
+/// Whether the watch has already delivered the end of the leadership that was acquired at
+/// `revision`. It will not deliver that change again.
 fn ended_since(controller: &ControllerState, shard: ShardId, revision: Revision) -> bool {
     let key = controller.cached.shard_leaders.get(&shard);
     controller.watch_reached(revision) && key.is_none_or(|key| key.revision != revision)
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -1,4 +1,4 @@
-//! Announcing a new fencing token to the machines of a shard.
+//! Announcing a new fencing token to the machines of an acquired shard.
 
 use crate::bounded_parallelism;
 use crate::state::ControllerContext;
@@ -9,43 +9,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Machines announced to at a time.
-const AT_ONCE: usize = 3;
-/// Longest wait for a worker's reply.
+/// Largest number of machines to which the token is announced concurrently.
+const MAX_CONCURRENT: usize = 3;
+/// Longest wait for a worker's reply to one command.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The incarnation named first; workers count theirs from here.
+/// The incarnation named in the first command; workers number theirs from this one.
 const FIRST_INCARNATION: u64 = 1;
 
-/// A machine to announce the fencing token to.
+/// A machine to which the fencing token is announced.
 pub struct Announcement {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// Address of its worker.
+    /// Address of the machine's worker, as `host:port`.
     pub endpoint: String,
 }
 
-/// What a worker's reply to an announcement means.
+/// A worker's reply to an announcement.
 enum Reply {
-    /// It obeys the fencing token; this is its heartbeat.
+    /// The worker obeys the fencing token; this is its heartbeat.
     Accepted(Heartbeat),
-    /// It wants its present incarnation named.
+    /// The command named another incarnation than the worker's, which is this one.
     WrongIncarnation(u64),
-    /// It has seen a higher fencing token.
+    /// The worker has seen this higher fencing token.
     HigherFencingToken(FencingToken),
-    /// Nothing follows from it.
+    /// No usable reply.
     Ignored,
 }
 
-/// Sends each machine the new fencing token by an empty direct command, a few at a time:
-/// its reply is its heartbeat, and it then sends heartbeats by itself.
+/// Sends each machine an empty direct command with the new fencing token, to a few machines
+/// at a time. A worker replies with its heartbeat, and then sends heartbeats to this
+/// controller by itself.
 pub fn announce_fencing_token(
     context: &Arc<ControllerContext>,
     shard: ShardId,
     machines: Vec<Announcement>,
 ) {
     let context = Arc::clone(context);
-    let work = move |machine: Announcement| announce_to_machine(&context, shard, &machine);
-    bounded_parallelism::few_at_a_time("announce", AT_ONCE, machines, work);
+    let announce = move |announcement: Announcement| {
+        announce_to_machine(&context, shard, &announcement);
+    };
+    bounded_parallelism::few_at_a_time("announce", MAX_CONCURRENT, machines, announce);
 }
 
 fn announce_to_machine(context: &ControllerContext, shard: ShardId, announcement: &Announcement) {
@@ -53,8 +56,8 @@
     let Ok(address) = announcement.endpoint.parse() else {
         return;
     };
-    // A wrong incarnation is answered with 409 and the heartbeat, whose incarnation then
-    // lets the second try through.
+    // A worker refuses a command for another incarnation with status 409 and its heartbeat.
+    // The second attempt names the incarnation in that heartbeat.
     let mut incarnation = FIRST_INCARNATION;
     for _ in 0..2 {
         let Some(fencing_token) = token_to_announce(context, shard, machine) else {
@@ -62,7 +65,7 @@
         };
         match send(context, address, machine, fencing_token, incarnation) {
             Reply::Accepted(heartbeat) => return apply_heartbeat(context, shard, &heartbeat),
-            Reply::WrongIncarnation(present) => incarnation = present,
+            Reply::WrongIncarnation(current) => incarnation = current,
             Reply::HigherFencingToken(seen) => {
                 let now = context.clock.now();
                 let mut controller = context.controller.lock();
@@ -73,8 +76,8 @@
     }
 }
 
-/// The fencing token that the machine is to obey, if this controller still leads its
-/// shard and the machine has not confirmed it by a heartbeat.
+/// The fencing token to announce to a machine; `None` if this controller no longer leads the
+/// shard, or a heartbeat of the machine has confirmed the token already.
 fn token_to_announce(
     context: &ControllerContext,
     shard: ShardId,
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -1,5 +1,5 @@
-//! Done batches and images: records that a leader writes a little later than it learns
-//! of what they say.
+//! Records that a leader writes with a delay, to combine many changes in one transaction:
+//! tasks that are done (done batches) and the images on machines.
 
 use super::launch_waits::LaunchWaits;
 use crate::state::{ControllerContext, ControllerState, LedShard, job_entry};
@@ -15,38 +15,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often shards are looked at.
-const ROUND: Duration = Duration::from_millis(200);
-/// How often images are written.
-const IMAGES_EVERY: Duration = Duration::from_secs(5);
+/// Time between two checks of the led shards.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest time between two writes of images.
+const IMAGE_WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A done batch that is due.
+/// A shard whose next done batch is due, with the priority of its write.
 struct DueBatch {
     shard: ShardId,
     priority: RequestPriority,
 }
 
-/// A done batch of one shard.
+/// A done batch of one shard, ready to be committed.
 struct PreparedDoneBatch {
     shard: ShardId,
     shard_revision: Revision,
     batch: Batch,
 }
 
-/// The images of one shard's machines.
+/// A transaction that records images on machines of one shard, ready to be committed.
 struct PreparedImages {
     shard: ShardId,
     machine_batches: Vec<MachineBatchAfter>,
     transaction: Transaction,
 }
 
-/// Lets time pass in the shards' states and commits done batches; runs for the life of
-/// the process.
+/// Advances the time of the led shards, and commits done batches and images; runs for the
+/// life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     let mut waits = LaunchWaits::new(context.clock.now());
     let mut images_written = context.clock.now();
     loop {
-        std::thread::sleep(ROUND);
+        std::thread::sleep(TICK_INTERVAL);
         let now = context.clock.now();
         let Some(due) = tick(context, &mut waits, now) else {
             continue;
@@ -54,15 +54,15 @@
         for DueBatch { shard, priority } in due {
             write_done_batch(context, shard, priority, now);
         }
-        if now.since(images_written) >= IMAGES_EVERY {
+        if now.since(images_written) >= IMAGE_WRITE_INTERVAL {
             images_written = now;
             write_images(context);
         }
     }
 }
 
-/// Lets time pass in the shards' states. Returns the done batches that are due; none at
-/// all while this controller may not act.
+/// Advances the time of the loaded shards. Returns the done batches that are due; `None` if
+/// this controller may not act.
 fn tick(
     context: &ControllerContext,
     waits: &mut LaunchWaits,
@@ -76,7 +76,7 @@
         waits.add(led.state.take_started());
         health_events.extend(led.state.take_health_events());
     }
-    waits.log(now);
+    waits.log_if_due(now);
     log_health_events(health_events);
     if !controller.may_act(now) {
         return None;
@@ -97,23 +97,29 @@
     Some(due.collect())
 }
 
-/// Logs what was learnt of jobs and machines.
+/// Logs which jobs and machines were found to be unhealthy, or healthy again.
 fn log_health_events(events: Vec<HealthEvent>) {
     for event in events {
         match event {
             HealthEvent::Broken(id) => {
-                log::info!("held {id} back: it fails on several machines and runs on none");
+                log::info!(
+                    "put job {id} in back-off: it fails on several machines and runs on none"
+                );
             }
-            HealthEvent::Runs(id) => log::info!("no longer held {id} back: it runs after all"),
+            HealthEvent::Runs(id) => log::info!("ended the back-off of job {id}: it runs again"),
             HealthEvent::Quarantined(id) => {
-                log::info!("quarantined {id}, to be replaced: it fails jobs that run elsewhere");
+                log::info!(
+                    "quarantined machine {id}: it fails jobs that run on other machines; it is to be replaced"
+                );
             }
-            HealthEvent::Fit(id) => log::info!("kept {id}: it runs again what it failed"),
+            HealthEvent::Fit(id) => log::info!(
+                "ended the quarantine of machine {id}: it runs jobs that it failed before"
+            ),
         }
     }
 }
 
-/// Writes which images machines have, when nothing more urgent needs the tokens.
+/// Records which images machines have, if no more urgent write needs the write tokens.
 fn write_images(context: &ControllerContext) {
     for prepared in prepare_images(context) {
         match context
@@ -123,9 +129,9 @@
             Ok(Outcome::Applied(revision)) => {
                 context.put_machine_batches(prepared.machine_batches, revision);
             }
-            // The watch brings what is stored; the next round tries again.
+            // The watch delivers what is stored, and the next interval tries again.
             other => log::debug!(
-                "failed to write images of shard {}: {other:?}",
+                "failed to record images of shard {}: {other:?}",
                 prepared.shard
             ),
         }
@@ -140,22 +146,23 @@
         .collect()
 }
 
-/// The images of as many machines as half a transaction's machine batches hold.
+/// Prepares the images of as many machines as fit into half of the machine batches that one
+/// transaction may change; `None` if there is nothing to record.
 fn prepare_shard_images(
     controller: &ControllerState,
     shard: ShardId,
     led: &LedShard,
 ) -> Option<PreparedImages> {
     let batches = &controller.cached.machine_batches;
-    let most = controller.config.batch_ops / 2;
+    let max_batches = controller.config.batch_ops / 2;
     let mut records = BTreeMap::new();
-    let mut touched = BTreeSet::new();
+    let mut changed_batches = BTreeSet::new();
     for (id, record) in led.state.new_images() {
         let Some(number) = batches.find(&id) else {
             continue;
         };
-        if touched.len() <= most || touched.contains(&number) {
-            touched.insert(number);
+        if changed_batches.len() <= max_batches || changed_batches.contains(&number) {
+            changed_batches.insert(number);
             records.insert(id, Some(record));
         }
     }
@@ -205,7 +212,7 @@
 }
 
 impl PreparedDoneBatch {
-    /// The transaction was applied: its tasks are recorded as done.
+    /// Applies the committed batch: its tasks are recorded as done.
     fn apply(self, context: &ControllerContext, revision: Revision, now: MonotonicTime) {
         let batch = self.batch;
         let mut controller = context.controller.lock();
@@ -225,28 +232,31 @@
             let (shard, id, tasks) = (self.shard, &job.id, job.tasks.len());
             match &job.over {
                 Some(state) => {
-                    // Its user asks next; the answer needs no read.
+                    // The user's next query can then be answered without a read.
                     context.final_states.lock().insert(id, state.clone());
-                    log::debug!("recorded {tasks} tasks of {id} in shard {shard}, all of them");
+                    log::debug!(
+                        "recorded {tasks} tasks of job {id} in shard {shard} as done: the job ended"
+                    );
                 }
-                None => log::debug!("recorded {tasks} tasks of {id} in shard {shard}"),
+                None => log::debug!("recorded {tasks} tasks of job {id} in shard {shard} as done"),
             }
         }
     }
 
-    /// A conflict, or no answer: what is stored decides, not what was sent.
+    /// Reads the jobs of the batch again after a conflict or an unknown outcome: what is
+    /// stored counts, not what was sent.
     fn refresh_jobs(&self, context: &ControllerContext) {
         log::debug!(
-            "read jobs of shard {} again: done batch not confirmed",
+            "rereading jobs of shard {}: its done batch was not confirmed",
             self.shard
         );
         for job in &self.batch.jobs {
             if is_in_batch(context, self.shard, &job.id) {
-                // The watch brings what is in a job batch.
+                // The watch delivers changes of job batches.
                 continue;
             }
             if let Err(e) = refresh_job(context, self.shard, self.shard_revision, &job.id) {
-                log::debug!("failed to read {}: {e}", job.id);
+                log::debug!("failed to read job {} again: {e}", job.id);
             }
         }
     }
@@ -259,7 +269,7 @@
     job.is_some_and(|job| job.in_batch)
 }
 
-/// Brings one job's record up to what is stored.
+/// Reads the stored records of one job and applies them to the shard.
 fn refresh_job(
     context: &ControllerContext,
     shard: ShardId,
@@ -272,23 +282,23 @@
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let config = Arc::clone(&controller.config);
-    // The watch may have brought its end while it was read.
-    let known = controller.cached.live_jobs.contains_key(id);
+    // The watch may have delivered the job's end while it was read.
+    let is_live = controller.cached.live_jobs.contains_key(id);
     let led = controller.led_shards.get_mut(&shard);
     let Some(led) = led.filter(|led| led.revision == shard_revision) else {
         return Ok(());
     };
-    let mut live = false;
+    let mut is_stored = false;
     for item in &items {
         if let Some((job, entry)) = job_entry(item)
             && job == *id
-            && known
+            && is_live
         {
-            live = true;
+            is_stored = true;
             led.apply_job_entry(id, &entry, item.revision, false, now, &config);
         }
     }
-    if !live {
+    if !is_stored {
         led.state.drop_job(id);
     }
     Ok(())
--- a/crates/pulleywood-controller/src/shard/hand_over.rs
+++ b/crates/pulleywood-controller/src/shard/hand_over.rs
@@ -1,4 +1,5 @@
-//! Ending the leadership of a shard: handing it over, and releasing a stray key.
+//! Ending the leadership of a shard: handing the shard over, and deleting stray leadership
+//! keys.
 
 use crate::state::{ControllerContext, ControllerState};
 use pulleywood_protocol::record::shard_leader_key;
@@ -7,10 +8,10 @@
 use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 
-/// Hands a shard over to another controller: launches stop, then the shard's leadership
-/// key is deleted.
+/// Hands a shard over to another controller: stops launches, then deletes the shard's
+/// leadership key, so that another controller can acquire it.
 pub fn hand_over(context: &ControllerContext, shard: ShardId) -> Result<(), StoreError> {
-    log::info!("began to hand over shard {shard}");
+    log::info!("started to hand over shard {shard}");
     let Some(revision) = stop_launches(context, shard) else {
         return Ok(());
     };
@@ -22,8 +23,8 @@
             controller.led_shards.remove(&shard);
             note_vacant(&mut controller, shard, now);
         }
-        // Without an answer the key may be gone: a shard without a leader is better than
-        // one with two.
+        // If the outcome is unknown, the key may have been deleted and acquired by another
+        // controller. A shard without a leader is better than one with two.
         Ok(Outcome::Conflict) | Err(StoreError::Unknown(_)) => {
             controller.led_shards.remove(&shard);
         }
@@ -36,13 +37,14 @@
     outcome.map(|_| ())
 }
 
-/// Releases a shard whose leadership key names this process though it does not lead it.
+/// Deletes the leadership key of a shard that names this process although it does not lead
+/// the shard.
 pub fn release_stray_key(
     context: &ControllerContext,
     shard: ShardId,
     revision: Revision,
 ) -> Result<(), StoreError> {
-    log::info!("found shard {shard} acquired by a late transaction: releasing it");
+    log::info!("releasing shard {shard}: a transaction that timed out acquired it late");
     if let Outcome::Applied(_) = delete_key(context, shard, revision)? {
         let now = context.clock.now();
         note_vacant(&mut context.controller.lock(), shard, now);
@@ -50,7 +52,8 @@
     Ok(())
 }
 
-/// Marks the shard as leaving; the revision of its leadership key, if it is led.
+/// Marks the shard as being handed over, which stops launches. Returns the revision of its
+/// leadership key, or `None` if this controller does not lead it.
 fn stop_launches(context: &ControllerContext, shard: ShardId) -> Option<Revision> {
     let mut controller = context.controller.lock();
     let led = controller.led_shards.get_mut(&shard)?;
--- a/crates/pulleywood-controller/src/shard/launch_waits.rs
+++ b/crates/pulleywood-controller/src/shard/launch_waits.rs
@@ -1,4 +1,4 @@
-//! How long tasks waited for their launch and then for their image, for the log.
+//! Statistics for the log: how long tasks waited for their launch, and then for their image.
 
 use hdrhistogram::Histogram;
 use pulleywood_protocol::MonotonicTime;
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longer waits count as this one, in ms.
-const HIGHEST_MS: u64 = 86_400_000;
-/// Waits are logged this often.
-const LOG_EVERY: Duration = Duration::from_secs(30);
+/// Largest recorded wait in milliseconds; longer waits are counted as this one.
+const MAX_WAIT_MS: u64 = 86_400_000;
+/// Time between two log lines of a class.
+const LOG_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Waits of the tasks of one class, in ms.
-struct Waits {
-    /// From the task's acceptance to its launch.
+/// Waits of the tasks of one job class, in milliseconds.
+struct ClassWaits {
+    /// Time from when this leader first saw a task's job to the task's launch.
     launch: Histogram<u32>,
-    /// From its launch until it ran.
+    /// Time from a task's launch until it ran, most of which is the fetch of its image.
     image: Histogram<u32>,
 }
 
-/// Waits by class since the last log line.
+/// Waits of started tasks by job class since they were last logged.
 pub struct LaunchWaits {
     since: MonotonicTime,
-    classes: BTreeMap<String, Waits>,
+    classes: BTreeMap<String, ClassWaits>,
 }
 
 impl LaunchWaits {
-    /// No waits yet.
+    /// Creates empty statistics that are first logged one interval after `since`.
     pub fn new(since: MonotonicTime) -> Self {
         Self {
             since,
@@ -34,19 +34,19 @@
         }
     }
 
-    /// Counts tasks that have started to run.
+    /// Adds the waits of tasks that have started to run.
     pub fn add(&mut self, started: Vec<Started>) {
         for task in started {
             log::debug!(
-                "{} runs, {:.1} s after its launch",
+                "task {} started to run {:.1} s after its launch",
                 task.task,
                 task.fetched.as_secs_f64()
             );
-            let new = || Histogram::new_with_max(HIGHEST_MS, 2).ok();
+            let histogram = || Histogram::new_with_max(MAX_WAIT_MS, 2).ok();
             if !self.classes.contains_key(&task.class)
-                && let (Some(launch), Some(image)) = (new(), new())
+                && let (Some(launch), Some(image)) = (histogram(), histogram())
             {
-                let waits = Waits { launch, image };
+                let waits = ClassWaits { launch, image };
                 self.classes.insert(task.class.clone(), waits);
             }
             if let Some(waits) = self.classes.get_mut(&task.class) {
@@ -60,16 +60,18 @@
         }
     }
 
-    /// Logs and forgets the waits, if it is time.
-    pub fn log(&mut self, now: MonotonicTime) {
-        if now.since(self.since) < LOG_EVERY {
+    /// Logs and clears the waits if [`LOG_INTERVAL`] has passed since they were last logged.
+    pub fn log_if_due(&mut self, now: MonotonicTime) {
+        if now.since(self.since) < LOG_INTERVAL {
             return;
         }
         self.since = now;
-        for (class, Waits { launch, image }) in std::mem::take(&mut self.classes) {
-            let seconds = |h: &Histogram<u32>, q| h.value_at_quantile(q) as f64 / 1000.0;
+        for (class, ClassWaits { launch, image }) in std::mem::take(&mut self.classes) {
+            let seconds = |histogram: &Histogram<u32>, quantile| {
+                histogram.value_at_quantile(quantile) as f64 / 1000.0
+            };
             log::info!(
-                "{class}: {} tasks started; launched after {:.1} s (p50) {:.1} s (p90), ran {:.1} s (p50) {:.1} s (p90) later",
+                "class {class}: {} tasks started; wait for launch {:.1} s (p50) {:.1} s (p90), from launch to running {:.1} s (p50) {:.1} s (p90)",
                 launch.len(),
                 seconds(&launch, 0.5),
                 seconds(&launch, 0.9),
--- a/crates/pulleywood-controller/src/shard/layout.rs
+++ b/crates/pulleywood-controller/src/shard/layout.rs
@@ -1,4 +1,4 @@
-//! The layout of a new cluster.
+//! Storing the layout of a new cluster.
 
 use crate::state::ControllerContext;
 use pulleywood_protocol::record::{FencingTokenCounter, LAYOUT, Layout};
@@ -7,10 +7,10 @@
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::time::Duration;
 
-/// The watch brings the stored layout within about this time.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause after storing the layout, within which the watch usually delivers it.
+const WATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Stores the number of shards, which never changes, and the fencing-token counter.
+/// Stores the number of shards, which never changes afterwards, and the fencing-token counter.
 pub fn store_layout(context: &ControllerContext) -> Result<(), StoreError> {
     let shards = context.settings.cluster.initial_size;
     let counter = FencingTokenCounter {
@@ -23,7 +23,7 @@
     let outcome = context
         .store
         .commit(RequestPriority::ShardLeader, &transaction)?;
-    log::info!("stored the layout of {shards} shards: {outcome:?}");
-    std::thread::sleep(PAUSE);
+    log::info!("stored the layout with {shards} shards: {outcome:?}");
+    std::thread::sleep(WATCH_DELAY);
     Ok(())
 }
--- a/crates/pulleywood-controller/src/shard/leader_requests.rs
+++ b/crates/pulleywood-controller/src/shard/leader_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the coordinator to the leader of a shard, from this controller's own
+//! Requests of the coordinator to the leader of a shard. They come from this controller's own
 //! coordinator thread or from a peer.
 
 use super::RequestOutcome;
@@ -10,12 +10,12 @@
 use pulleywood_protocol::peer::{PeerRequest, PeerResponse};
 use std::time::Duration;
 
-/// A machine is drained for this long after a request: the coordinator repeats it about
+/// Time for which a request drains a machine. The coordinator repeats the request about
 /// once a second.
-const DRAIN_TIME: Duration = Duration::from_secs(4);
+const DRAIN_DURATION: Duration = Duration::from_secs(4);
 
-/// Carries out a request to the leader of a shard. Requests to a controller as such are
-/// refused.
+/// Carries out a request to the leader of a shard. Requests that address a controller rather
+/// than a leader are refused.
 pub fn carry_out(context: &ControllerContext, request: PeerRequest) -> PeerResponse {
     let outcome = match request {
         PeerRequest::MoveMachines(machines, to) => {
@@ -25,8 +25,8 @@
         PeerRequest::ReleaseMachines(machines) => {
             release_machines(context, &machines, Destination::Cloud)
         }
-        PeerRequest::TransferTasks(from, to, like) => transfer_tasks(context, from, to, &like),
-        PeerRequest::ShrinkQuota(shard, to) => shrink_quota(context, shard, &to),
+        PeerRequest::TransferTasks(from, to, demand) => transfer_tasks(context, from, to, &demand),
+        PeerRequest::ShrinkQuota(shard, limits) => shrink_quota(context, shard, &limits),
         PeerRequest::Digest(_)
         | PeerRequest::NoteCancellations(_)
         | PeerRequest::BorrowWriteTokens => RequestOutcome::Refused,
@@ -37,9 +37,9 @@
     }
 }
 
-/// Nothing more is launched on these machines for a while.
+/// Stops launches on these machines for [`DRAIN_DURATION`].
 fn drain_machines(context: &ControllerContext, machines: &[MachineId]) -> RequestOutcome {
-    let until = context.clock.now() + DRAIN_TIME;
+    let until = context.clock.now() + DRAIN_DURATION;
     for led in context.controller.lock().led_shards.values_mut() {
         led.state.drain(machines, until);
     }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -1,6 +1,8 @@
-//! The leadership thread: carries out the step that is due, one at a time.
+//! The leadership thread: decides the next leadership step and carries it out, one at a time.
 
-use super::step::{KeyHolder, LeadershipSnapshot, LeadershipStep, Led, Member, ShardKey};
+use super::step::{
+    KeyHolder, LeadershipSnapshot, LeadershipStep, LedShardStatus, MemberStatus, ShardStatus,
+};
 use super::{acquire, hand_over, layout, reconciled};
 use crate::state::{ControllerContext, ControllerState, LedShard, ReceivedDigest};
 use pulleywood_protocol::record::Layout;
@@ -10,17 +12,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time between two decisions.
-const DECIDE_EVERY: Duration = Duration::from_millis(200);
-/// Shortest time between two decisions: changes that come together share one.
-const GATHER: Duration = Duration::from_millis(30);
-/// A digest is believed for this long.
-const FRESH_DIGEST: Duration = Duration::from_secs(3);
+/// Longest wait for work after a step was carried out.
+const MAX_WAIT: Duration = Duration::from_millis(200);
+/// Pause before each decision, so that changes that arrive together share one.
+const BATCHING_DELAY: Duration = Duration::from_millis(30);
+/// Age from which a peer's digest is no longer used.
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(3);
 
 /// Acquires, loads and hands over shards; runs for the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     loop {
-        let step = due_step(context, &context.controller.lock());
+        let step = next_step(context, &context.controller.lock());
         if let Err(e) = carry_out(context, step) {
             log::debug!("failed to carry out {step:?}: {e}");
         }
@@ -30,11 +32,9 @@
 
 fn wait_for_work(context: &ControllerContext) {
     let mut controller = context.controller.lock();
-    context
-        .work_available
-        .wait_for(&mut controller, DECIDE_EVERY);
+    context.work_available.wait_for(&mut controller, MAX_WAIT);
     drop(controller);
-    std::thread::sleep(GATHER);
+    std::thread::sleep(BATCHING_DELAY);
 }
 
 fn carry_out(context: &Arc<ControllerContext>, step: LeadershipStep) -> Result<(), StoreError> {
@@ -47,7 +47,7 @@
         }
         LeadershipStep::HandOver(shard) => hand_over::hand_over(context, shard),
         LeadershipStep::GiveUp(shard) => {
-            log::info!("gave up shard {shard}: no worker of it reaches this controller");
+            log::info!("gave up shard {shard}: none of its workers reaches this controller");
             let now = context.clock.now();
             context.controller.lock().back_off_acquiring(now);
             hand_over::hand_over(context, shard)
@@ -59,18 +59,19 @@
     }
 }
 
-/// At the first start all controllers acquire their shards at once, each with the next
-/// fencing token: all but one would be refused. They go one after the other.
+/// Delays the acquisition at the first start of a cluster, by this controller's position in
+/// the sorted list of all. Without that, all controllers would draw the same next fencing
+/// token at the same time, and all but one would be refused.
 fn stagger_first_start(context: &ControllerContext) {
-    const TURN: Duration = Duration::from_millis(40);
+    const STAGGER: Duration = Duration::from_millis(40);
     if context.controller.lock().cached.shard_leaders.is_empty() {
         let peers = context.peers.keys();
-        let earlier = peers.filter(|peer| **peer < context.controller_id).count();
-        std::thread::sleep(TURN * earlier as u32);
+        let position = peers.filter(|peer| **peer < context.controller_id).count();
+        std::thread::sleep(STAGGER * position as u32);
     }
 }
 
-fn due_step(context: &ControllerContext, controller: &ControllerState) -> LeadershipStep {
+fn next_step(context: &ControllerContext, controller: &ControllerState) -> LeadershipStep {
     let now = context.clock.now();
     if !controller.cache_loaded || !controller.may_act(now) || controller.config.flavors.is_empty()
     {
@@ -82,7 +83,7 @@
     let Some(layout) = controller.cached.layout else {
         return LeadershipStep::StoreLayout;
     };
-    snapshot(context, controller, layout, lease_id, now).due_step()
+    snapshot(context, controller, layout, lease_id, now).next_step()
 }
 
 fn snapshot(
@@ -96,38 +97,38 @@
     let states = loaded.map(|led| &led.state);
     LeadershipSnapshot {
         lease_id,
-        members: members(context, controller, now),
+        members: member_statuses(context, controller, now),
         shards: (0..layout.shards)
-            .map(|n| shard_key(context, controller, ShardId(n), now))
+            .map(|number| shard_status(context, controller, ShardId(number), now))
             .collect(),
-        led: controller
+        led_shards: controller
             .led_shards
             .iter()
-            .map(|(shard, led)| led_here(*shard, led))
+            .map(|(shard, led)| led_shard_status(*shard, led))
             .collect(),
         reachability: reachability::reachability(states, now, &controller.config),
         in_backoff: now < controller.acquire_backoff.until,
     }
 }
 
-fn members(
+fn member_statuses(
     context: &ControllerContext,
     controller: &ControllerState,
     now: MonotonicTime,
-) -> Vec<Member> {
+) -> Vec<MemberStatus> {
     let peers = context.peers.keys();
     let mut ids: Vec<&MemberId> = peers.chain([&context.controller_id]).collect();
     ids.sort();
     let serves_none = |received: &ReceivedDigest| {
         let digest = &received.digest;
-        let fit = received.is_fresh(now, FRESH_DIGEST) && digest.fit;
+        let fit = received.is_fresh(now, MAX_DIGEST_AGE) && digest.fit;
         fit.then_some(digest.serving.is_empty())
     };
     ids.into_iter()
         .map(|id| {
             let serves_none = controller.digests.get(id).and_then(serves_none);
-            Member {
-                is_this: *id == context.controller_id,
+            MemberStatus {
+                is_this_controller: *id == context.controller_id,
                 fit: serves_none.is_some(),
                 idle: serves_none == Some(true),
             }
@@ -135,32 +136,34 @@
         .collect()
 }
 
-fn shard_key(
+fn shard_status(
     context: &ControllerContext,
     controller: &ControllerState,
     shard: ShardId,
     now: MonotonicTime,
-) -> ShardKey {
+) -> ShardStatus {
     let cached = &controller.cached;
     let holder = match cached.shard_leaders.get(&shard) {
         Some(key) if context.is_this_process(&key.value) => KeyHolder::ThisProcess(key.revision),
         Some(_) => KeyHolder::Another,
         None => {
-            let since = cached.vacant_since.get(&shard);
-            KeyHolder::Nobody(since.map_or(Duration::ZERO, |at| now.since(*at)))
+            let vacant_since = cached.vacant_since.get(&shard);
+            KeyHolder::Nobody(vacant_since.map_or(Duration::ZERO, |since| now.since(*since)))
         }
     };
-    ShardKey {
+    ShardStatus {
         shard,
         holder,
-        led_here: controller.led_shards.contains_key(&shard),
+        is_led_here: controller.led_shards.contains_key(&shard),
     }
 }
 
-fn led_here(shard: ShardId, led: &LedShard) -> Led {
-    Led {
+fn led_shard_status(shard: ShardId, led: &LedShard) -> LedShardStatus {
+    LedShardStatus {
         shard,
-        stays: led.loaded && !led.handing_over,
-        unrecorded: led.loaded && led.reconciled_revision.is_none() && !led.state.rebuilding(),
+        is_stable: led.loaded && !led.handing_over,
+        reconciliation_unrecorded: led.loaded
+            && led.reconciled_revision.is_none()
+            && !led.state.rebuilding(),
     }
 }
--- a/crates/pulleywood-controller/src/shard/load.rs
+++ b/crates/pulleywood-controller/src/shard/load.rs
@@ -1,5 +1,5 @@
-//! Loading a shard after its leadership was acquired: its machines and jobs are read in
-//! full, then the new fencing token is announced to the machines.
+//! Loading a shard after its leadership was acquired: its machines and jobs are read in full,
+//! then the new fencing token is announced to its machines.
 
 use super::announce::{Announcement, announce_fencing_token};
 use crate::state::{
@@ -17,23 +17,23 @@
 /// Pause after a failed read.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Everything stored that a shard may consist of.
+/// All stored records that may belong to a shard.
 struct StoredRecords {
     job_batches: Vec<Item>,
-    /// Store revision that the job batches were read at.
+    /// Store revision at which the job batches were read.
     job_batches_revision: u64,
     jobs: Vec<Item>,
     machine_batches: Vec<Item>,
 }
 
-/// Reads a shard's machines and jobs, then announces the new fencing token.
-/// `shard_revision`: revision of the leadership key; nothing is done once it has changed.
+/// Loads a shard's machines and jobs, then announces the new fencing token.
+/// `shard_revision`: revision of the leadership key; loading stops once this has changed.
 pub fn load(
     context: &Arc<ControllerContext>,
     shard: ShardId,
     shard_revision: Revision,
 ) -> Result<(), StoreError> {
-    let Some(records) = read_until_answered(context, shard, shard_revision) else {
+    let Some(records) = read_with_retries(context, shard, shard_revision) else {
         return Ok(());
     };
     if let Some(machines) = put_records(context, shard, shard_revision, records) {
@@ -42,9 +42,9 @@
     Ok(())
 }
 
-/// Retries while this controller leads the shard; none once it does not, or if what it
-/// reads is too old.
-fn read_until_answered(
+/// Reads the records, with retries as long as this controller leads the shard. `None` if it
+/// no longer leads the shard, or if a read failed with [`StoreError::TooOld`].
+fn read_with_retries(
     context: &ControllerContext,
     shard: ShardId,
     shard_revision: Revision,
@@ -54,7 +54,7 @@
             Ok(records) => return Some(records),
             Err(StoreError::TooOld) => return None,
             Err(e) => {
-                log::debug!("failed to read shard {shard}: {e}");
+                log::debug!("failed to read the records of shard {shard}: {e}");
                 std::thread::sleep(RETRY_PAUSE);
                 let controller = context.controller.lock();
                 let led = controller.led_shards.get(&shard);
@@ -66,8 +66,8 @@
     }
 }
 
-/// Job batches are read first: a job that leaves its job batch meanwhile is found in
-/// the rest.
+/// Reads job batches first: a job that gets a record of its own in the meantime is then found
+/// among the jobs.
 fn read_records(context: &ControllerContext) -> Result<StoredRecords, StoreError> {
     let list = |prefix| context.store.list(RequestPriority::ShardLeader, prefix);
     let (job_batches, job_batches_revision) = list(JOB_BATCHES)?;
@@ -81,8 +81,8 @@
     })
 }
 
-/// Puts everything into the shard's state; the machines that the fencing token is to be
-/// announced to, or none if the shard is no longer led.
+/// Adds the records to the shard's state. Returns the machines to which the fencing token is
+/// to be announced, or `None` if the shard is no longer led.
 fn put_records(
     context: &ControllerContext,
     shard: ShardId,
@@ -102,15 +102,15 @@
     for item in &records.job_batches {
         put_job_batch(led, item, now, &config);
     }
-    // Continuations sort after their job's record.
+    // The list is sorted by key, so a job's record comes before its continuations.
     for item in &records.jobs {
         if let Some((id, entry)) = job_entry(item) {
             led.apply_job_entry(&id, &entry, item.revision, true, now, &config);
         }
     }
     led.loaded = true;
-    // While it was loaded, this controller's own changes were not applied to the shard:
-    // the watch must bring them, so they must not count as known.
+    // This controller's own transactions were not applied to the shard while it was being
+    // loaded. They must not count as applied, so that the watch applies them.
     controller.own_writes.clear();
     apply_deferred_changes(led, records.job_batches_revision, now, &config);
     log::info!(
@@ -129,28 +129,28 @@
     machines: &mut Vec<Announcement>,
     now: MonotonicTime,
 ) {
-    let Some(Key::MachineBatch(n)) = Key::parse(&item.path) else {
+    let Some(Key::MachineBatch(number)) = Key::parse(&item.path) else {
         return;
     };
     let Some(batch) = decode_machine_batch(&item.value, &item.path) else {
         led.state.unreadable_machines = true;
         return;
     };
-    // The watch may have brought a newer one while this was read.
-    let (batch, revision) = match cached.machine_batches.get(n) {
+    // The watch may have delivered a newer batch while this one was read.
+    let (batch, revision) = match cached.machine_batches.get(number) {
         Some((newer, revision)) if *revision > item.revision => (newer.clone(), *revision),
         _ => (batch, item.revision),
     };
     led.state.unreadable_machines |= !batch.unreadable.is_empty();
-    let ours = batch.machines.into_iter();
-    for (id, record) in ours.filter(|(_, record)| record.shard == shard) {
+    let all = batch.machines.into_iter();
+    for (id, record) in all.filter(|(_, record)| record.shard == shard) {
         if !record.endpoint.is_empty() {
             machines.push(Announcement {
                 machine: id.clone(),
                 endpoint: record.endpoint.clone(),
             });
         }
-        // Also replaces what an event may have brought as not inherited.
+        // An event may have added the machine as not inherited; that entry is replaced.
         led.state.machines.remove(&id);
         led.state.put_machine(&id, record, revision, true, now);
     }
@@ -169,15 +169,21 @@
     }
 }
 
-/// Changes that the watch brought meanwhile and that are newer than what was read.
-fn apply_deferred_changes(led: &mut LedShard, read_at: u64, now: MonotonicTime, config: &Config) {
+/// Applies the changes that the watch delivered during loading and that are newer than the
+/// records that were read.
+fn apply_deferred_changes(
+    led: &mut LedShard,
+    read_revision: u64,
+    now: MonotonicTime,
+    config: &Config,
+) {
     for change in std::mem::take(&mut led.deferred_changes) {
         let DeferredChange {
             id,
             entry,
             revision,
         } = change;
-        if revision.0 > read_at {
+        if revision.0 > read_revision {
             led.apply_job_entry(&id, &entry, revision, false, now, config);
         }
     }
--- a/crates/pulleywood-controller/src/shard/mod.rs
+++ b/crates/pulleywood-controller/src/shard/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership of shards: when it is due, how it is acquired, loaded, announced to the
-//! machines and handed over, and what a leader writes meanwhile.
+//! Leadership of shards: deciding the next step, acquiring a shard, loading it, announcing
+//! its fencing token to machines and handing it over, and the records that a leader writes.
 
 mod acquire;
 mod announce;
@@ -17,11 +17,11 @@
 mod step;
 mod transfers;
 
-/// What became of a request to the leader of a shard.
+/// Outcome of a request to the leader of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestOutcome {
-    /// It was carried out.
+    /// The request was carried out.
     Accepted,
-    /// It was not, or not in full.
+    /// The request was not carried out, or not in full.
     Refused,
 }
--- a/crates/pulleywood-controller/src/shard/quota.rs
+++ b/crates/pulleywood-controller/src/shard/quota.rs
@@ -1,4 +1,4 @@
-//! A leader's side of a smaller quota.
+//! Shrinking the quota of a led shard, at the coordinator's request.
 
 use super::RequestOutcome;
 use crate::state::ControllerContext;
@@ -11,20 +11,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A smaller quota to be written.
+/// A smaller quota that is ready to be committed.
 struct PreparedShrink {
     shard: ShardId,
     record: QuotaRecord,
     transaction: Transaction,
 }
 
-/// Commits a smaller quota, by team, but never one below what is in use.
+/// Commits a smaller quota of a led shard. `limits`: the new quota by team, which is not
+/// lowered below what the team uses.
 pub fn shrink_quota(
     context: &ControllerContext,
     shard: ShardId,
-    to: &BTreeMap<String, Slots>,
+    limits: &BTreeMap<String, Slots>,
 ) -> RequestOutcome {
-    let Some(prepared) = prepare(context, shard, to) else {
+    let Some(prepared) = prepare(context, shard, limits) else {
         return RequestOutcome::Refused;
     };
     let outcome = context
@@ -32,16 +33,17 @@
         .commit(RequestPriority::ShardLeader, &prepared.transaction);
     match outcome {
         Ok(Outcome::Applied(revision)) => prepared.apply(context, revision),
-        // The smaller one stays in force here until the watch brings another.
+        // The smaller quota stays in force here until the watch delivers another.
         Ok(Outcome::Conflict) | Err(_) => RequestOutcome::Refused,
     }
 }
 
-/// Puts the smaller quota in force before it is committed, never the other way round.
+/// Puts the smaller quota in force here, and prepares its transaction. The order matters: if
+/// it were committed first, other shards could be given slots that this leader still fills.
 fn prepare(
     context: &ControllerContext,
     shard: ShardId,
-    to: &BTreeMap<String, Slots>,
+    limits: &BTreeMap<String, Slots>,
 ) -> Option<PreparedShrink> {
     let now = context.clock.now();
     let mut controller = context.controller.lock();
@@ -54,7 +56,7 @@
     let led = led.filter(|led| led.loaded)?;
     let stored = stored?;
     let used = led.state.used(&config);
-    let record = quota::shrunk(&stored.value, to, &used)?;
+    let record = quota::shrunk(&stored.value, limits, &used)?;
     led.state.quotas = record.clone();
     led.state.disturb();
     let key = quota_key(shard);
--- a/crates/pulleywood-controller/src/shard/reconciled.rs
+++ b/crates/pulleywood-controller/src/shard/reconciled.rs
@@ -1,4 +1,4 @@
-//! Recording that a shard's machines are all accounted for.
+//! Recording that all machines of a led shard are accounted for.
 
 use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::record::{PreviousLeaseHolder, previous_leader_key, shard_leader_key};
@@ -7,15 +7,15 @@
 use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 
-/// The record to write, and the leadership that it belongs to.
+/// The record that is ready to be written, with the leadership it belongs to.
 struct PreparedRecord {
     shard: ShardId,
     fencing_token: FencingToken,
     transaction: Transaction,
 }
 
-/// Records that every machine of the shard is accounted for: the next leader has to wait
-/// for this leader's launches only, not for those of leaders before it.
+/// Records that every machine of the shard is accounted for. The next leader then has to
+/// wait only for tasks launched by this leader, not for those of leaders before it.
 pub fn record_reconciled(context: &ControllerContext, shard: ShardId) -> Result<(), StoreError> {
     let Some(prepared) = prepare(context, shard)? else {
         return Ok(());
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -1,5 +1,5 @@
-//! Registering machines: their records are written, many in one transaction, before
-//! anything is launched on them.
+//! Registration of machines: writes the records of many machines in one transaction. No task
+//! is launched on a machine before its record is stored.
 
 use crate::batch_queue::WaitOutcome;
 use crate::fencing_token::newest_fencing_token;
@@ -19,53 +19,56 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A heartbeat waits this long for the registration of its machine: a worker waits four
-/// seconds for its response.
+/// Longest time that a heartbeat waits for the registration of its machine. A worker waits
+/// 4 s for the response to its heartbeat.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Machines that come within this time share a transaction.
-const GATHER: Duration = Duration::from_millis(60);
-/// Attempts to write one machine batch while other controllers write theirs.
-const ATTEMPTS: u32 = 4;
-/// Writes in the transaction of a machine batch: its head and the batch.
-const WRITES: u32 = 2;
+/// Time during which new machines are collected for one transaction.
+const BATCHING_WINDOW: Duration = Duration::from_millis(60);
+/// Attempts to write one machine batch, as transactions of other controllers may conflict.
+const MAX_ATTEMPTS: u32 = 4;
+/// Write tokens that the transaction of a machine batch needs: one for the head, one for
+/// the batch.
+const WRITE_TOKENS: u32 = 2;
 
-/// Machines that wait, by their number in the queue.
+/// Machines that wait to be registered, by their number in the queue.
 type WaitingMachines = BTreeMap<u64, UnregisteredMachine>;
 
-/// The machine batch that new machines join.
+/// The machine batch to which new machines are added.
 struct TargetBatch {
     number: u64,
     batch: MachineBatchRecord,
-    /// Revision of its key; that of an absent key if it is new.
+    /// Revision of the batch's key; 0 if the batch is new.
     revision: Revision,
     head: BatchHead,
     head_revision: Revision,
 }
 
-/// One machine batch to be written.
+/// A machine batch that is ready to be written.
 struct PreparedMachineBatch {
     number: u64,
     batch: MachineBatchRecord,
     head: BatchHead,
-    /// Machines that it registers.
+    /// Machines that the batch registers.
     registered: BTreeSet<MachineId>,
     transaction: Transaction,
 }
 
-/// Registers a machine with a led shard, together with others; returns once its record
-/// is stored or it is clear that it will not be now.
+/// Registers a machine with a led shard, in one transaction with other machines. Blocks
+/// until the record is stored, the attempt has failed, or [`REGISTRATION_TIMEOUT`] is over.
 pub fn register(
     context: &ControllerContext,
     heartbeat: &Heartbeat,
     shard: ShardId,
 ) -> RegistrationOutcome {
-    // Registered above this fencing token, the machine would raise the counter beyond
-    // what attempts can be named after, and nothing could be launched any more.
+    // The machine's record would need a higher fencing token than this one. That would raise
+    // the counter beyond the tokens that attempts can be named after, and no task could be
+    // launched any more.
     if heartbeat.fencing_token >= FencingToken::LAST {
         log::error!(
-            "refused to register {}: it shows fencing token {}",
+            "refused to register {}: it has seen fencing token {}, the limit is {}",
             heartbeat.machine,
-            heartbeat.fencing_token
+            heartbeat.fencing_token,
+            FencingToken::LAST
         );
         return RegistrationOutcome::NotRegistered;
     }
@@ -94,19 +97,22 @@
     }
 }
 
-/// Registers machines; runs for the life of the process.
+/// Registers machines from the queue; runs for the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     loop {
         context.registrations.wait();
-        std::thread::sleep(GATHER);
-        // Machines that come until there are tokens share the transaction.
-        let tokens = context.store.take(RequestPriority::Record, WRITES);
-        let most = context.controller.lock().config.machines_per_batch();
-        let waiting = context.registrations.take(most);
+        std::thread::sleep(BATCHING_WINDOW);
+        // Machines that arrive before the tokens are granted join the same transaction.
+        let tokens = context.store.take(RequestPriority::Record, WRITE_TOKENS);
+        let max_machines = context.controller.lock().config.machines_per_batch();
+        let waiting = context.registrations.take(max_machines);
         match tokens {
             Ok(()) => write_machine_batch(context, waiting),
             Err(e) => {
-                log::debug!("postponed the records of {} machines: {e}", waiting.len());
+                log::debug!(
+                    "postponed the registration of {} machines: {e}",
+                    waiting.len()
+                );
                 report(
                     context,
                     waiting.into_keys(),
@@ -126,22 +132,30 @@
 }
 
 fn write_machine_batch(context: &Arc<ControllerContext>, mut waiting: WaitingMachines) {
-    for attempt in 0..ATTEMPTS {
+    for attempt in 0..MAX_ATTEMPTS {
         refresh_machine_batches(context);
-        if attempt > 0 && context.store.take(RequestPriority::Record, WRITES).is_err() {
+        if attempt > 0
+            && context
+                .store
+                .take(RequestPriority::Record, WRITE_TOKENS)
+                .is_err()
+        {
             break;
         }
-        let Ok(fresh) = fresh_fencing_token(context, &waiting) else {
+        let Ok(fresh_token) = fresh_fencing_token(context, &waiting) else {
             break;
         };
-        let Some(prepared) = prepare(context, &mut waiting, fresh) else {
+        let Some(prepared) = prepare(context, &mut waiting, fresh_token) else {
             break;
         };
         match context.store.commit_with_tokens(&prepared.transaction) {
             Ok(Ok(revision)) => return prepared.apply(context, revision, waiting),
-            // Another machine batch was written meanwhile, or a shard changed its leader.
+            // Another machine batch was written since, or a shard has a new leader.
             Ok(Err(failed)) => {
-                log::debug!("lost machine batch {}: {failed:?} changed", prepared.number);
+                log::debug!(
+                    "failed to write machine batch {}: {failed:?} changed",
+                    prepared.number
+                );
             }
             Err(e) => {
                 log::debug!("failed to write machine batch {}: {e}", prepared.number);
@@ -156,52 +170,54 @@
     );
 }
 
-/// Other controllers write machine batches too; a transaction that rests on an old head
-/// is refused.
+/// Reads the changes in the store: other controllers write machine batches too, and a
+/// transaction that is conditioned on an old head is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
     if let Err(e) = watch::changes(context, RequestPriority::Record, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
 
-/// A new fencing token, and the counter's revision, for machines that have seen a token
-/// as high as their shard's: each obeyed some leader before, or its heartbeat is a late
-/// copy. Under a fresh token only a heartbeat that responds to this leader shows what
-/// runs on the machine, and no attempt repeats. The default if there is no such machine.
+/// Draws a new fencing token for machines that have seen a token at least as high as their
+/// shard's; returns it with the revision of the counter, or the default if there is no such
+/// machine. Such a machine has obeyed a leader before, or its heartbeat is a late copy. Under
+/// a new token, only a heartbeat sent in response to this leader shows what runs on the
+/// machine, and no name of an attempt is used twice.
 fn fresh_fencing_token(
     context: &ControllerContext,
     waiting: &WaitingMachines,
 ) -> Result<Versioned<FencingToken>, StoreError> {
-    let seen = {
+    let highest_seen = {
         let controller = context.controller.lock();
-        let ahead = |machine: &&UnregisteredMachine| {
+        let needs_fresh_token = |machine: &&UnregisteredMachine| {
             let led = controller.led_shards.get(&machine.shard);
             led.is_some_and(|led| machine.highest_seen_token >= led.state.fencing_token)
         };
         waiting
             .values()
-            .filter(ahead)
-            .map(|w| w.highest_seen_token)
+            .filter(needs_fresh_token)
+            .map(|machine| machine.highest_seen_token)
             .max()
     };
-    let Some(seen) = seen else {
+    let Some(highest_seen) = highest_seen else {
         return Ok(Versioned::default());
     };
     let counter = newest_fencing_token(context)?;
-    let fresh = counter.value.max(seen).next();
-    Ok(Versioned::new(fresh, counter.revision))
+    let fresh_token = counter.value.max(highest_seen).next();
+    Ok(Versioned::new(fresh_token, counter.revision))
 }
 
-/// Prepares a machine batch with as many of the waiting machines as fit; none if no
-/// machine can be registered now. Machines whose record is known already no longer wait.
+/// Prepares a machine batch with as many of the waiting machines as fit; `None` if no machine
+/// can be registered now. Machines that have a record already are reported as registered and
+/// removed from `waiting`.
 fn prepare(
     context: &ControllerContext,
     waiting: &mut WaitingMachines,
-    fresh: Versioned<FencingToken>,
+    fresh_token: Versioned<FencingToken>,
 ) -> Option<PreparedMachineBatch> {
     let now = context.clock.now();
     let controller = context.controller.lock();
-    report_known(context, &controller, waiting);
+    report_already_registered(context, &controller, waiting);
     let target = target_batch(&controller, waiting.len());
     let mut batch = target.batch;
     let mut transaction = Transaction::default()
@@ -210,7 +226,7 @@
     let mut registered = BTreeSet::new();
     let mut shards = BTreeSet::new();
     for machine in waiting.values() {
-        let Some(record) = record_to_write(&controller, machine, fresh.value, now) else {
+        let Some(record) = record_to_write(&controller, machine, fresh_token.value, now) else {
             continue;
         };
         batch.machines.insert(machine.id.clone(), record.value);
@@ -224,9 +240,11 @@
     if registered.is_empty() {
         return None;
     }
-    if fresh.value > FencingToken(0) {
-        let counter = FencingTokenCounter { last: fresh.value };
-        transaction = counter.replace(transaction, fresh.revision);
+    if fresh_token.value > FencingToken(0) {
+        let counter = FencingTokenCounter {
+            last: fresh_token.value,
+        };
+        transaction = counter.replace(transaction, fresh_token.revision);
     }
     let key = machine_batch_key(target.number);
     Some(PreparedMachineBatch {
@@ -240,28 +258,32 @@
     })
 }
 
-fn report_known(
+fn report_already_registered(
     context: &ControllerContext,
     controller: &ControllerState,
     waiting: &mut WaitingMachines,
 ) {
-    let known: Vec<u64> = waiting
+    let registered: Vec<u64> = waiting
         .iter()
         .filter(|(_, machine)| controller.cached.machines.contains_key(&machine.id))
         .map(|(number, _)| *number)
         .collect();
-    for number in &known {
+    for number in &registered {
         waiting.remove(number);
     }
-    report(context, known, RegistrationOutcome::Registered);
+    report(context, registered, RegistrationOutcome::Registered);
 }
 
-/// Few machines come at a time in the long run: they join a machine batch of led shards
-/// that has room, else a new one.
-fn target_batch(controller: &ControllerState, room: usize) -> TargetBatch {
-    let led_here = |m: &MachineRecord| controller.led_shards.contains_key(&m.shard);
-    let most = controller.config.machines_per_batch();
-    let open = controller.cached.machine_batches.open(room, most, led_here);
+/// Chooses a machine batch of led shards that has room for `count` more machines, or a new
+/// one if there is none. Machines mostly arrive a few at a time, so a new batch for each
+/// arrival would leave many small batches.
+fn target_batch(controller: &ControllerState, count: usize) -> TargetBatch {
+    let led_here = |machine: &MachineRecord| controller.led_shards.contains_key(&machine.shard);
+    let max_machines = controller.config.machines_per_batch();
+    let open = controller
+        .cached
+        .machine_batches
+        .open(count, max_machines, led_here);
     let head = controller.cached.machine_batch_head;
     match open {
         Some((number, batch, revision)) => TargetBatch {
@@ -284,12 +306,12 @@
     }
 }
 
-/// The record of a machine whose shard may register it now, with the revision of the
-/// shard's leadership key.
+/// Makes the record of a machine, with the revision of its shard's leadership key; `None` if
+/// the shard cannot register the machine now.
 fn record_to_write(
     controller: &ControllerState,
     machine: &UnregisteredMachine,
-    fresh: FencingToken,
+    fresh_token: FencingToken,
     now: MonotonicTime,
 ) -> Option<Versioned<MachineRecord>> {
     let led = controller.led_shards.get(&machine.shard)?;
@@ -298,10 +320,10 @@
     }
     let fencing_token = if machine.highest_seen_token < led.state.fencing_token {
         led.state.fencing_token
-    } else if fresh > machine.highest_seen_token {
-        fresh
+    } else if fresh_token > machine.highest_seen_token {
+        fresh_token
     } else {
-        // The shard changed its leader since the fresh token was drawn.
+        // The shard got a new leader after the fresh token was drawn.
         return None;
     };
     let record = MachineRecord {
@@ -311,7 +333,8 @@
     Some(Versioned::new(record, led.revision))
 }
 
-/// Removes machines until the batch fits into a value: they wait for another one.
+/// Removes machines until the batch fits into a stored value of `limit` bytes; the removed
+/// machines are not registered by this transaction.
 fn remove_excess(
     batch: &mut MachineBatchRecord,
     registered: &mut BTreeSet<MachineId>,
@@ -326,8 +349,8 @@
 }
 
 impl PreparedMachineBatch {
-    /// The transaction was applied: puts the machines into the controller state, and
-    /// reports to all that wait.
+    /// Applies the committed batch to the controller state, and reports the outcome to the
+    /// heartbeats of all machines in `waiting`.
     fn apply(self, context: &ControllerContext, revision: Revision, waiting: WaitingMachines) {
         let now = context.clock.now();
         let names: Vec<&str> = self.registered.iter().map(|id| &*id.0).collect();
@@ -338,7 +361,7 @@
             .controller
             .lock()
             .put_written_machine_batch(self.head, batch, revision, now);
-        let (registered, left): (Vec<_>, Vec<_>) = waiting
+        let (registered, not_registered): (Vec<_>, Vec<_>) = waiting
             .into_iter()
             .partition(|(_, machine)| self.registered.contains(&machine.id));
         let numbers = |machines: Vec<(u64, UnregisteredMachine)>| {
@@ -349,6 +372,10 @@
             numbers(registered),
             RegistrationOutcome::Registered,
         );
-        report(context, numbers(left), RegistrationOutcome::NotRegistered);
+        report(
+            context,
+            numbers(not_registered),
+            RegistrationOutcome::NotRegistered,
+        );
     }
 }
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -1,5 +1,5 @@
-//! Machines that leave a led shard: moved to another shard, or marked for release to the
-//! cloud. Only machines that hold nothing leave.
+//! Releasing machines of a led shard: they are moved to another shard, or marked as retiring,
+//! to be returned to the cloud. Only machines that hold no task are released.
 
 use super::RequestOutcome;
 use crate::fencing_token::newest_fencing_token;
@@ -15,19 +15,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One request goes on for this long: whoever asked waits no longer than three seconds.
+/// Time after which a request starts no further transaction. The coordinator waits at most
+/// 3 s for the response.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Attempts to fence a machine off against an unanswered transaction.
-const FENCE_ATTEMPTS: u32 = 10;
-/// Pause before each of them.
+/// Attempts to fence off a transaction whose outcome is unknown.
+const MAX_FENCE_ATTEMPTS: u32 = 10;
+/// Pause before each attempt to fence off a transaction.
 const FENCE_PAUSE: Duration = Duration::from_millis(500);
 
-/// Where machines go.
+/// Where released machines go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Destination {
     /// To another shard.
     Shard(ShardId),
-    /// Back to the cloud.
+    /// Back to the cloud, by retiring them.
     Cloud,
 }
 
@@ -40,36 +41,36 @@
     }
 }
 
-/// One transaction by which machines leave.
+/// A transaction by which machines leave a shard, ready to be committed.
 struct PreparedRelease {
     shard: ShardId,
     shard_revision: Revision,
     machines: Vec<MachineId>,
-    /// The machine batches as they are then.
+    /// The changed machine batches, as they are after the transaction.
     machine_batches: Vec<MachineBatchAfter>,
     transaction: Transaction,
 }
 
-/// Releases machines of a led shard, as many in one transaction as it may change machine
-/// batches. Accepted if all that may leave did, transaction by transaction.
+/// Releases machines of a led shard, in as many transactions as the limit of writes in a
+/// transaction requires. Accepted if every transaction was applied.
 pub fn release_machines(
     context: &ControllerContext,
     ids: &[MachineId],
     to: Destination,
 ) -> RequestOutcome {
-    let end = context.clock.now() + RELEASE_TIMEOUT;
-    let (by_batch, most) = group_by_batch(context, ids, to);
-    let mut request = RequestOutcome::Accepted;
-    for machines in by_batch.chunks(most) {
-        let late = context.clock.now() >= end;
-        if late || release_together(context, &machines.concat(), to) == RequestOutcome::Refused {
-            request = RequestOutcome::Refused;
+    let deadline = context.clock.now() + RELEASE_TIMEOUT;
+    let (by_batch, max_batches) = group_by_batch(context, ids, to);
+    let mut outcome = RequestOutcome::Accepted;
+    for machines in by_batch.chunks(max_batches) {
+        let expired = context.clock.now() >= deadline;
+        if expired || release_together(context, &machines.concat(), to) == RequestOutcome::Refused {
+            outcome = RequestOutcome::Refused;
         }
     }
-    request
+    outcome
 }
 
-/// The machines by the machine batch they are in, and how many machine batches one
+/// Groups the machines by their machine batch. Also returns how many machine batches one
 /// transaction may change.
 fn group_by_batch(
     context: &ControllerContext,
@@ -83,16 +84,16 @@
         let machines = by_batch.entry(batch.unwrap_or(u64::MAX)).or_default();
         machines.push(id.clone());
     }
-    // A move draws a fencing token too.
+    // The transaction of a move also writes the fencing-token counter.
     let token_writes = match to {
         Destination::Shard(_) => 1,
         Destination::Cloud => 0,
     };
-    let most = controller.config.batch_ops.saturating_sub(token_writes);
-    (by_batch.into_values().collect(), most.max(1))
+    let max_batches = controller.config.batch_ops.saturating_sub(token_writes);
+    (by_batch.into_values().collect(), max_batches.max(1))
 }
 
-/// One transaction of [`release_machines`]. Machines that may not leave now are left out.
+/// Releases machines in one transaction, except those that may not leave now.
 fn release_together(
     context: &ControllerContext,
     ids: &[MachineId],
@@ -109,7 +110,7 @@
         return RequestOutcome::Refused;
     };
     if prepared.machine_batches.is_empty() {
-        prepared.keep_machines(context);
+        prepared.retain_machines(context);
         return RequestOutcome::Refused;
     }
     let outcome = context
@@ -118,7 +119,8 @@
     prepared.apply(context, outcome, to)
 }
 
-/// Marks the machines that may leave as leaving, and prepares their new records.
+/// Marks the machines that may leave as leaving, and prepares the transaction that writes
+/// their new records; `None` if no machine may leave now.
 fn prepare(
     context: &ControllerContext,
     ids: &[MachineId],
@@ -165,7 +167,7 @@
     led.loaded && !led.handing_over && led.state.may_leave(id)
 }
 
-/// Marks machines as leaving; their records once they have left.
+/// Marks machines as leaving. Returns the records to store for them.
 fn records_to_write(
     led: &mut LedShard,
     ids: &[MachineId],
@@ -205,17 +207,17 @@
             Ok(Outcome::Applied(revision)) => {
                 context.put_machine_batches(self.machine_batches, revision);
                 let (shard, machines) = (self.shard, &self.machines);
-                log::info!("released {machines:?} of shard {shard} to {to}");
+                log::info!("released machines {machines:?} of shard {shard} to {to}");
                 RequestOutcome::Accepted
             }
             Ok(Outcome::Conflict)
             | Err(StoreError::NotSent(_) | StoreError::Refused(_) | StoreError::Budget(_)) => {
-                self.keep_machines(context);
+                self.retain_machines(context);
                 RequestOutcome::Refused
             }
             Err(_) => {
-                // It may be applied minutes from now. Until a newer write fences it off,
-                // the machines stay out of use.
+                // The outcome is unknown, and the transaction may still be applied minutes
+                // from now. The machines stay out of use until a newer write fences it off.
                 for id in &self.machines {
                     fence_machine(context, self.shard, self.shard_revision, id);
                 }
@@ -224,15 +226,15 @@
         }
     }
 
-    fn keep_machines(&self, context: &ControllerContext) {
+    fn retain_machines(&self, context: &ControllerContext) {
         for id in &self.machines {
-            keep_machine(context, self.shard, id);
+            retain_machine(context, self.shard, id);
         }
     }
 }
 
-/// A machine that was to leave stays.
-fn keep_machine(context: &ControllerContext, shard: ShardId, id: &MachineId) {
+/// Undoes the mark of a machine as leaving, unless it is retiring.
+fn retain_machine(context: &ControllerContext, shard: ShardId, id: &MachineId) {
     let mut controller = context.controller.lock();
     if let Some(led) = controller.led_shards.get_mut(&shard)
         && let Some(machine) = led.state.machines.get_mut(id)
@@ -242,38 +244,38 @@
     }
 }
 
-/// How one attempt to fence a machine ended.
+/// Outcome of one attempt to fence off a transaction that releases a machine.
 enum FenceOutcome {
-    /// The older transaction cannot be applied any more, or the machine has left.
+    /// The transaction can no longer be applied, or it has been: the machine has left.
     Done,
-    /// Not yet.
+    /// The attempt failed and has to be repeated.
     Retry,
 }
 
-/// Rewrites a machine's machine batch as it is, so that an older transaction that was
-/// never answered can no longer be applied.
+/// Fences off an older transaction whose outcome is unknown: rewrites the machine batch of a
+/// machine unchanged, so that a transaction conditioned on its old revision is refused.
 fn fence_machine(
     context: &ControllerContext,
     shard: ShardId,
     shard_revision: Revision,
     id: &MachineId,
 ) {
-    for _ in 0..FENCE_ATTEMPTS {
+    for _ in 0..MAX_FENCE_ATTEMPTS {
         std::thread::sleep(FENCE_PAUSE);
-        if let FenceOutcome::Done = try_to_fence(context, shard, shard_revision, id) {
+        if let FenceOutcome::Done = try_to_fence_machine(context, shard, shard_revision, id) {
             return;
         }
     }
 }
 
-fn try_to_fence(
+fn try_to_fence_machine(
     context: &ControllerContext,
     shard: ShardId,
     shard_revision: Revision,
     id: &MachineId,
 ) -> FenceOutcome {
-    let found = context.controller.lock().cached.machine_batches.find(id);
-    let Some(number) = found else {
+    let batch_number = context.controller.lock().cached.machine_batches.find(id);
+    let Some(number) = batch_number else {
         return FenceOutcome::Done;
     };
     let key = machine_batch_key(number);
@@ -300,7 +302,7 @@
     {
         Ok(Outcome::Applied(revision)) => {
             context.put_machine_batches(vec![(number, Some(batch))], revision);
-            keep_machine(context, shard, id);
+            retain_machine(context, shard, id);
             FenceOutcome::Done
         }
         Ok(Outcome::Conflict) | Err(_) => FenceOutcome::Retry,
--- a/crates/pulleywood-controller/src/shard/step.rs
+++ b/crates/pulleywood-controller/src/shard/step.rs
@@ -1,18 +1,19 @@
-//! Which step of leadership is due: a pure decision on a snapshot.
+//! Decides the next leadership step of this controller, as a pure function of a snapshot.
 //!
-//! Every shard prefers one controller, by its position in the sorted list of all
-//! controllers. A controller acquires the vacant shards that prefer it at once when it
-//! leads none, and others after a grace period; one that leads several hands a shard
-//! over to one that leads none.
+//! Every shard prefers one controller as its leader, by the shard's number and the position
+//! in the sorted list of all controllers. A controller that leads no shard acquires a vacant
+//! shard that prefers it at once; any other vacant shard is acquired only after a grace
+//! period. A controller that leads several shards hands one over to a controller that leads
+//! none.
 
 use pulleywood_protocol::{LeaseId, Revision, ShardId};
 use pulleywood_scheduler::shard::reachability::Reachability;
 use std::time::Duration;
 
-/// A vacant shard waits this long for a controller that leads none.
+/// Time that a vacant shard is left to controllers that are better suited to lead it.
 const VACANCY_GRACE: Duration = Duration::from_millis(800);
 
-/// What the leadership thread is to do next.
+/// A step that the leadership thread carries out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipStep {
     /// Nothing is due.
@@ -23,169 +24,182 @@
     Acquire(ShardId, LeaseId),
     /// Hand a shard over to a controller that leads none.
     HandOver(ShardId),
-    /// Give a shard up: no worker reaches this leader, and another may be reached.
+    /// Give up a shard: no worker reaches this controller, but workers may reach another.
     GiveUp(ShardId),
-    /// Delete the leadership key that a transaction of this process wrote although its
-    /// outcome was given up on.
+    /// Delete the leadership key, at this revision, that a transaction of this process wrote
+    /// after the process had stopped waiting for its outcome.
     ReleaseStrayKey(ShardId, Revision),
-    /// Record that every machine the shard came with is accounted for.
+    /// Record that every machine that the shard had when it was acquired is accounted for.
     RecordReconciled(ShardId),
 }
 
-/// A controller of the cluster, as its last digest shows it.
+/// Status of one controller of the cluster, by its last digest.
 #[derive(Debug, Clone, Copy)]
-pub struct Member {
-    /// It is this controller.
-    pub is_this: bool,
-    /// It said lately that it can lead shards. Not known of this controller.
+pub struct MemberStatus {
+    /// Whether it is this controller.
+    pub is_this_controller: bool,
+    /// Whether its recent digest says that it can lead shards; false for this controller,
+    /// which receives no digest of its own.
     pub fit: bool,
-    /// It is fit and leads no shard.
+    /// Whether it is fit and leads no shard.
     pub idle: bool,
 }
 
-/// Who holds the leadership key of a shard.
+/// Holder of the leadership key of a shard.
 #[derive(Debug, Clone, Copy)]
 pub enum KeyHolder {
-    /// Nobody, for as long as this.
+    /// The key does not exist; the shard has been vacant for this long.
     Nobody(Duration),
-    /// This process, since this revision.
+    /// This process, which wrote the key at this revision.
     ThisProcess(Revision),
-    /// Another process.
+    /// Another process, perhaps a former process of this controller.
     Another,
 }
 
-/// A shard of the layout.
+/// Status of one shard of the layout.
 #[derive(Debug, Clone, Copy)]
-pub struct ShardKey {
-    /// The shard.
+pub struct ShardStatus {
+    /// Id of the shard.
     pub shard: ShardId,
-    /// Who holds its leadership key.
+    /// Holder of the shard's leadership key, by the cached state.
     pub holder: KeyHolder,
-    /// This controller leads it.
-    pub led_here: bool,
+    /// Whether this controller leads the shard.
+    pub is_led_here: bool,
 }
 
-/// A shard that this controller leads.
+/// Status of one shard that this controller leads.
 #[derive(Debug, Clone, Copy)]
-pub struct Led {
-    /// The shard.
+pub struct LedShardStatus {
+    /// Id of the shard.
     pub shard: ShardId,
-    /// It has been read in full and is not being handed over.
-    pub stays: bool,
-    /// Its machines are all accounted for, which is not recorded yet.
-    pub unrecorded: bool,
+    /// Whether the shard has been loaded and is not being handed over.
+    pub is_stable: bool,
+    /// Whether all machines of the shard are accounted for and that is not recorded yet.
+    pub reconciliation_unrecorded: bool,
 }
 
-/// What the decision rests on.
+/// Everything that the decision depends on.
 #[derive(Debug)]
 pub struct LeadershipSnapshot {
-    /// The session lease.
+    /// Id of this controller's session lease.
     pub lease_id: LeaseId,
-    /// All controllers, by their ids.
-    pub members: Vec<Member>,
-    /// All shards of the layout, by their ids.
-    pub shards: Vec<ShardKey>,
-    /// Shards led here, by their ids.
-    pub led: Vec<Led>,
+    /// All controllers, sorted by id.
+    pub members: Vec<MemberStatus>,
+    /// All shards of the layout, sorted by id.
+    pub shards: Vec<ShardStatus>,
+    /// Shards that this controller leads, sorted by id.
+    pub led_shards: Vec<LedShardStatus>,
     /// Whether workers reach this controller.
     pub reachability: Reachability,
-    /// This controller gave its shards up lately and acquires none for a while.
+    /// Whether this controller recently gave up a shard and acquires none for now.
     pub in_backoff: bool,
 }
 
 impl LeadershipSnapshot {
-    /// The step that is due.
-    pub fn due_step(&self) -> LeadershipStep {
+    /// Decides the next step.
+    pub fn next_step(&self) -> LeadershipStep {
         if let Some(step) = self.shard_to_give_up() {
             return step;
         }
         if self.in_backoff {
             return LeadershipStep::Wait;
         }
-        self.stray_key()
+        self.stray_key_to_release()
             .or_else(|| self.shard_to_acquire())
             .or_else(|| self.shard_to_hand_over())
-            .or_else(|| self.shard_to_record())
+            .or_else(|| self.reconciliation_to_record())
             .unwrap_or(LeadershipStep::Wait)
     }
 
-    /// Workers that reach nobody here may reach another.
-    fn another_is_fit(&self) -> bool {
-        self.members.iter().any(|m| m.fit)
+    /// Whether workers that do not reach this controller may reach another that can lead.
+    fn another_member_is_fit(&self) -> bool {
+        self.members.iter().any(|member| member.fit)
     }
 
-    /// Index of the member that a shard prefers as its leader.
-    fn preferred(&self, shard: ShardId) -> usize {
+    /// Index in `members` of the controller that a shard prefers as its leader.
+    fn preferred_member(&self, shard: ShardId) -> usize {
         shard.0 as usize % self.members.len()
     }
 
     fn shard_to_give_up(&self) -> Option<LeadershipStep> {
-        if !self.another_is_fit() || self.reachability != Reachability::Unreachable {
+        if !self.another_member_is_fit() || self.reachability != Reachability::Unreachable {
             return None;
         }
-        let led = self.led.iter().find(|led| led.stays)?;
+        let led = self.led_shards.iter().find(|led| led.is_stable)?;
         Some(LeadershipStep::GiveUp(led.shard))
     }
 
-    fn stray_key(&self) -> Option<LeadershipStep> {
-        let strays = self.shards.iter().filter(|s| !s.led_here);
-        strays
-            .filter_map(|s| match s.holder {
+    fn stray_key_to_release(&self) -> Option<LeadershipStep> {
+        let not_led_here = self.shards.iter().filter(|shard| !shard.is_led_here);
+        not_led_here
+            .filter_map(|shard| match shard.holder {
                 KeyHolder::ThisProcess(revision) => {
-                    Some(LeadershipStep::ReleaseStrayKey(s.shard, revision))
+                    Some(LeadershipStep::ReleaseStrayKey(shard.shard, revision))
                 }
                 KeyHolder::Nobody(_) | KeyHolder::Another => None,
             })
             .next()
     }
 
-    /// The first vacant shard that prefers this controller, else the first vacant one.
+    /// The first shard that may be acquired and prefers this controller, else the first that
+    /// may be acquired.
     fn shard_to_acquire(&self) -> Option<LeadershipStep> {
-        // If no worker reached several leaders, each would acquire the others' shards.
-        if self.another_is_fit() && self.reachability != Reachability::Reachable {
+        // Controllers that no worker reaches must not acquire each other's shards in turn.
+        if self.another_member_is_fit() && self.reachability != Reachability::Reachable {
             return None;
         }
-        let mut acquirable = self.shards.iter().filter(|s| self.may_acquire(s));
+        let mut acquirable = self.shards.iter().filter(|shard| self.may_acquire(shard));
         let first = acquirable.clone().next()?;
-        let preferring = acquirable.find(|s| self.members[self.preferred(s.shard)].is_this);
+        let preferring = acquirable
+            .find(|shard| self.members[self.preferred_member(shard.shard)].is_this_controller);
         let shard = preferring.unwrap_or(first).shard;
         Some(LeadershipStep::Acquire(shard, self.lease_id))
     }
 
-    /// The shard is vacant and has waited long enough for a better leader.
-    fn may_acquire(&self, shard: &ShardKey) -> bool {
-        let KeyHolder::Nobody(vacant) = shard.holder else {
+    /// Whether the shard is vacant and has been left to better suited controllers for long
+    /// enough.
+    fn may_acquire(&self, shard: &ShardStatus) -> bool {
+        let KeyHolder::Nobody(vacant_for) = shard.holder else {
             return false;
         };
-        if shard.led_here {
+        if shard.is_led_here {
             return false;
         }
-        let preferred = &self.members[self.preferred(shard.shard)];
-        match (self.led.is_empty(), preferred.is_this) {
+        let preferred = &self.members[self.preferred_member(shard.shard)];
+        match (self.led_shards.is_empty(), preferred.is_this_controller) {
             (true, true) => true,
-            // Its preferred leader may be starting too.
-            (true, false) => vacant > VACANCY_GRACE / 2 && !preferred.idle,
-            (false, true) => vacant > VACANCY_GRACE / 2,
-            (false, false) => vacant > VACANCY_GRACE && !self.members.iter().any(|m| m.idle),
+            // The preferred leader may be starting too.
+            (true, false) => vacant_for > VACANCY_GRACE / 2 && !preferred.idle,
+            (false, true) => vacant_for > VACANCY_GRACE / 2,
+            (false, false) => {
+                vacant_for > VACANCY_GRACE && !self.members.iter().any(|member| member.idle)
+            }
         }
     }
 
-    /// One of several shards, for the first idle member: the one that prefers it, else
-    /// one that does not prefer this controller.
+    /// If this controller leads several shards, the one to hand over to the first idle
+    /// controller: the first that prefers it, else the first that does not prefer this
+    /// controller.
     fn shard_to_hand_over(&self) -> Option<LeadershipStep> {
-        if self.led.len() < 2 || !self.led.iter().all(|led| led.stays) {
+        if self.led_shards.len() < 2 || !self.led_shards.iter().all(|led| led.is_stable) {
             return None;
         }
-        let idle = self.members.iter().position(|m| m.idle)?;
-        let led = || self.led.iter().map(|led| led.shard);
-        let prefers_idle = led().find(|shard| self.preferred(*shard) == idle);
-        let prefers_another = || led().find(|s| !self.members[self.preferred(*s)].is_this);
+        let idle = self.members.iter().position(|member| member.idle)?;
+        let led_shards = || self.led_shards.iter().map(|led| led.shard);
+        let prefers_idle = led_shards().find(|shard| self.preferred_member(*shard) == idle);
+        let prefers_another = || {
+            led_shards()
+                .find(|shard| !self.members[self.preferred_member(*shard)].is_this_controller)
+        };
         let shard = prefers_idle.or_else(prefers_another)?;
         Some(LeadershipStep::HandOver(shard))
     }
 
-    fn shard_to_record(&self) -> Option<LeadershipStep> {
-        let led = self.led.iter().find(|led| led.unrecorded)?;
+    fn reconciliation_to_record(&self) -> Option<LeadershipStep> {
+        let led = self
+            .led_shards
+            .iter()
+            .find(|led| led.reconciliation_unrecorded)?;
         Some(LeadershipStep::RecordReconciled(led.shard))
     }
 }
--- a/crates/pulleywood-controller/src/shard/step/tests.rs
+++ b/crates/pulleywood-controller/src/shard/step/tests.rs
@@ -1,61 +1,64 @@
-//! Which step of leadership is due in which situation.
+//! Tests of the next leadership step in each situation.
 
 use super::*;
 
 const LEASE: LeaseId = LeaseId(9);
 
-/// The first of three controllers, all fit and leading one of three shards each.
+/// A cluster of three controllers, each of which is fit and leads one of three shards, as
+/// the first controller sees it.
 fn snapshot() -> LeadershipSnapshot {
-    let member = |n| Member {
-        is_this: n == 0,
-        fit: n != 0,
+    let member = |index| MemberStatus {
+        is_this_controller: index == 0,
+        fit: index != 0,
         idle: false,
     };
-    let shard = |n| ShardKey {
-        shard: ShardId(n),
-        holder: match n {
+    let shard = |number| ShardStatus {
+        shard: ShardId(number),
+        holder: match number {
             0 => KeyHolder::ThisProcess(Revision(40)),
             _ => KeyHolder::Another,
         },
-        led_here: n == 0,
+        is_led_here: number == 0,
     };
     LeadershipSnapshot {
         lease_id: LEASE,
         members: (0..3).map(member).collect(),
         shards: (0..3).map(shard).collect(),
-        led: vec![led(0)],
+        led_shards: vec![led_shard(0)],
         reachability: Reachability::Reachable,
         in_backoff: false,
     }
 }
 
-fn led(shard: u32) -> Led {
-    Led {
+fn led_shard(shard: u32) -> LedShardStatus {
+    LedShardStatus {
         shard: ShardId(shard),
-        stays: true,
-        unrecorded: false,
+        is_stable: true,
+        reconciliation_unrecorded: false,
     }
 }
 
-fn vacant(snapshot: &mut LeadershipSnapshot, shard: usize, millis: u64) {
+fn make_vacant(snapshot: &mut LeadershipSnapshot, shard: usize, millis: u64) {
     snapshot.shards[shard].holder = KeyHolder::Nobody(Duration::from_millis(millis));
-    snapshot.shards[shard].led_here = false;
-    snapshot.led.retain(|led| led.shard.0 as usize != shard);
+    snapshot.shards[shard].is_led_here = false;
+    snapshot
+        .led_shards
+        .retain(|led| led.shard.0 as usize != shard);
 }
 
-fn lead(snapshot: &mut LeadershipSnapshot, shard: usize) {
+fn make_led_here(snapshot: &mut LeadershipSnapshot, shard: usize) {
     snapshot.shards[shard].holder = KeyHolder::ThisProcess(Revision(50));
-    snapshot.shards[shard].led_here = true;
-    snapshot.led.push(led(shard as u32));
+    snapshot.shards[shard].is_led_here = true;
+    snapshot.led_shards.push(led_shard(shard as u32));
 }
 
 type Change = fn(&mut LeadershipSnapshot);
 
-fn assert_due(cases: &[(&str, Change, LeadershipStep)]) {
+fn assert_next_steps(cases: &[(&str, Change, LeadershipStep)]) {
     for (name, change, expected) in cases {
         let mut snapshot = snapshot();
         change(&mut snapshot);
-        assert_eq!(snapshot.due_step(), *expected, "{name}");
+        assert_eq!(snapshot.next_step(), *expected, "{name}");
     }
 }
 
@@ -64,98 +67,110 @@
 }
 
 #[test]
-fn nothing_is_due_while_every_shard_has_its_leader() {
-    assert_due(&[("steady", |_| {}, LeadershipStep::Wait)]);
+fn no_step_is_taken_while_every_shard_has_a_leader() {
+    assert_next_steps(&[("steady", |_| {}, LeadershipStep::Wait)]);
 }
 
 #[test]
-fn a_vacant_shard_waits_for_the_better_leader() {
+fn a_vacant_shard_is_left_to_a_better_suited_controller_for_the_grace_period() {
     let wait = LeadershipStep::Wait;
-    assert_due(&[
-        ("leads none, preferred", |s| vacant(s, 0, 0), acquire(0)),
+    assert_next_steps(&[
         (
-            "leads none, preferred by the second of two",
+            "leads none, the vacant shard prefers it",
+            |s| make_vacant(s, 0, 0),
+            acquire(0),
+        ),
+        (
+            "leads none, two vacant shards, the first prefers it",
             |s| {
-                vacant(s, 0, 0);
-                vacant(s, 1, 5000);
+                make_vacant(s, 0, 0);
+                make_vacant(s, 1, 5000);
             },
             acquire(0),
         ),
         (
-            "leads none, others preferred, within half the grace period",
+            "leads none, the shard prefers another, within half the grace period",
             |s| {
-                vacant(s, 0, 0);
+                make_vacant(s, 0, 0);
                 s.shards[0].holder = KeyHolder::Another;
-                vacant(s, 1, 400);
+                make_vacant(s, 1, 400);
             },
             wait,
         ),
         (
-            "leads none, others preferred, after it",
+            "leads none, the shard prefers another, after half the grace period",
             |s| {
-                vacant(s, 0, 0);
+                make_vacant(s, 0, 0);
                 s.shards[0].holder = KeyHolder::Another;
-                vacant(s, 1, 401);
+                make_vacant(s, 1, 401);
             },
             acquire(1),
         ),
         (
-            "leads none, the preferred leader is idle",
+            "leads none, the preferred leader is idle too",
             |s| {
-                vacant(s, 0, 0);
+                make_vacant(s, 0, 0);
                 s.shards[0].holder = KeyHolder::Another;
-                vacant(s, 1, 5000);
+                make_vacant(s, 1, 5000);
                 s.members[1].idle = true;
             },
             wait,
         ),
         (
-            "leads another, preferred, within half the grace period",
+            "leads another, the shard prefers it, within half the grace period",
             |s| {
-                vacant(s, 0, 400);
-                lead(s, 1);
+                make_vacant(s, 0, 400);
+                make_led_here(s, 1);
             },
             wait,
         ),
         (
-            "leads another, preferred, after it",
+            "leads another, the shard prefers it, after half the grace period",
             |s| {
-                vacant(s, 0, 401);
-                lead(s, 1);
+                make_vacant(s, 0, 401);
+                make_led_here(s, 1);
             },
             acquire(0),
         ),
-        ("leads one, within the grace", |s| vacant(s, 1, 800), wait),
-        ("leads one, after it", |s| vacant(s, 1, 801), acquire(1)),
         (
-            "leads one, another member is idle",
+            "leads another, within the grace period",
+            |s| make_vacant(s, 1, 800),
+            wait,
+        ),
+        (
+            "leads another, after the grace period",
+            |s| make_vacant(s, 1, 801),
+            acquire(1),
+        ),
+        (
+            "leads another, a third controller is idle",
             |s| {
-                vacant(s, 1, 801);
+                make_vacant(s, 1, 801);
                 s.members[2].idle = true;
             },
             wait,
         ),
         (
-            "not reached by workers for a while, another is fit",
+            "reachability is uncertain, another controller is fit",
             |s| {
-                vacant(s, 1, 5000);
+                make_vacant(s, 1, 5000);
                 s.reachability = Reachability::Uncertain;
             },
             wait,
         ),
         (
-            "not reached by workers for a while, no other is fit",
+            "reachability is uncertain, no other controller is fit",
             |s| {
-                vacant(s, 1, 5000);
+                make_vacant(s, 1, 5000);
                 s.reachability = Reachability::Uncertain;
-                s.members.iter_mut().for_each(|m| m.fit = false);
+                s.members.iter_mut().for_each(|member| member.fit = false);
             },
             acquire(1),
         ),
         (
-            "backing off",
+            "in back-off",
             |s| {
-                vacant(s, 0, 5000);
+                make_vacant(s, 0, 5000);
                 s.in_backoff = true;
             },
             wait,
@@ -164,16 +179,16 @@
 }
 
 #[test]
-fn a_leader_that_no_worker_reaches_gives_up_if_another_is_fit() {
+fn an_unreachable_leader_gives_up_its_shard_if_another_controller_is_fit() {
     let give_up = LeadershipStep::GiveUp(ShardId(0));
-    assert_due(&[
+    assert_next_steps(&[
         (
-            "another is fit",
+            "another controller is fit",
             |s| s.reachability = Reachability::Unreachable,
             give_up,
         ),
         (
-            "also while backing off",
+            "another controller is fit, in back-off",
             |s| {
                 s.reachability = Reachability::Unreachable;
                 s.in_backoff = true;
@@ -181,18 +196,18 @@
             give_up,
         ),
         (
-            "no other is fit",
+            "no other controller is fit",
             |s| {
                 s.reachability = Reachability::Unreachable;
-                s.members.iter_mut().for_each(|m| m.fit = false);
+                s.members.iter_mut().for_each(|member| member.fit = false);
             },
             LeadershipStep::Wait,
         ),
         (
-            "it is being handed over already",
+            "the shard is being handed over already",
             |s| {
                 s.reachability = Reachability::Unreachable;
-                s.led[0].stays = false;
+                s.led_shards[0].is_stable = false;
             },
             LeadershipStep::Wait,
         ),
@@ -201,10 +216,10 @@
 
 #[test]
 fn a_stray_key_is_released_before_anything_is_acquired() {
-    assert_due(&[(
-        "a key of this process without a led shard",
+    assert_next_steps(&[(
+        "this process holds the key of a shard that it does not lead",
         |s| {
-            vacant(s, 1, 5000);
+            make_vacant(s, 1, 5000);
             s.shards[2].holder = KeyHolder::ThisProcess(Revision(77));
         },
         LeadershipStep::ReleaseStrayKey(ShardId(2), Revision(77)),
@@ -212,36 +227,36 @@
 }
 
 #[test]
-fn one_of_several_shards_goes_to_an_idle_member() {
-    assert_due(&[
+fn one_of_several_led_shards_is_handed_over_to_an_idle_controller() {
+    assert_next_steps(&[
         (
-            "the one that prefers the idle member",
+            "one shard prefers the idle controller",
             |s| {
-                lead(s, 1);
-                lead(s, 2);
+                make_led_here(s, 1);
+                make_led_here(s, 2);
                 s.members[2].idle = true;
             },
             LeadershipStep::HandOver(ShardId(2)),
         ),
         (
-            "else one that does not prefer this controller",
+            "no shard prefers the idle controller, one does not prefer this controller",
             |s| {
-                lead(s, 1);
+                make_led_here(s, 1);
                 s.members[2].idle = true;
             },
             LeadershipStep::HandOver(ShardId(1)),
         ),
         (
-            "none while one is being handed over",
+            "a shard is being handed over already",
             |s| {
-                lead(s, 1);
-                s.led[1].stays = false;
+                make_led_here(s, 1);
+                s.led_shards[1].is_stable = false;
                 s.members[2].idle = true;
             },
             LeadershipStep::Wait,
         ),
         (
-            "none of a single shard",
+            "this controller leads a single shard",
             |s| s.members[2].idle = true,
             LeadershipStep::Wait,
         ),
@@ -249,18 +264,18 @@
 }
 
 #[test]
-fn a_reconciled_shard_is_recorded_when_nothing_else_is_due() {
-    assert_due(&[
+fn reconciliation_is_recorded_when_no_other_step_is_due() {
+    assert_next_steps(&[
         (
-            "alone",
-            |s| s.led[0].unrecorded = true,
+            "no other step",
+            |s| s.led_shards[0].reconciliation_unrecorded = true,
             LeadershipStep::RecordReconciled(ShardId(0)),
         ),
         (
-            "beside a vacant shard",
+            "a shard is vacant",
             |s| {
-                s.led[0].unrecorded = true;
-                vacant(s, 1, 5000);
+                s.led_shards[0].reconciliation_unrecorded = true;
+                make_vacant(s, 1, 5000);
             },
             acquire(1),
         ),
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -1,7 +1,8 @@
 //! Transferring waiting tasks of a led shard to another shard.
 //!
-//! A shard's smaller share of a job is committed before the other shard can see its
-//! larger one. While a transfer is under way its tasks are offered: not launched here.
+//! One write of the job's record takes the tasks from this shard and gives them to the other,
+//! so the other shard cannot see them before this one has given them up. While a transfer is
+//! under way, its tasks are offered, and offered tasks are not launched here.
 
 use super::RequestOutcome;
 use crate::state::{CachedState, ControllerContext, LedShard};
@@ -18,51 +19,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Transfers of one request go on for this long: whoever asked waits no longer.
+/// Time after which a request starts no further transfer, as its sender no longer waits.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Some tasks of one job on their way to another shard.
+/// A transfer of tasks of one job, ready to be committed.
 struct PreparedTransfer {
     from: ShardId,
     id: JobId,
     record: JobRecord,
     transaction: Transaction,
-    /// The job batches that the job leaves, as they are then.
+    /// The job batches from which the job is removed, as they are after the transaction.
     job_batches: Vec<(u64, Option<JobBatchRecord>)>,
 }
 
-/// Transfers waiting tasks of a led shard, like those demanded, to another shard.
-/// Accepted if any transfer was applied.
+/// Transfers waiting tasks of a led shard that match a demand to another shard. Accepted if at
+/// least one transfer was applied.
 pub fn transfer_tasks(
     context: &ControllerContext,
     from: ShardId,
     to: ShardId,
-    like: &Demand,
+    demand: &Demand,
 ) -> RequestOutcome {
     let now = context.clock.now();
-    let end = now + TRANSFER_TIMEOUT;
-    let mut request = RequestOutcome::Refused;
-    for transfer in prepare_transfers(context, from, to, like) {
-        let outcome = if context.clock.now() < end {
+    let deadline = now + TRANSFER_TIMEOUT;
+    let mut request_outcome = RequestOutcome::Refused;
+    for transfer in prepare_transfers(context, from, to, demand) {
+        let outcome = if context.clock.now() < deadline {
             context
                 .store
                 .commit(RequestPriority::Housekeeping, &transfer.transaction)
         } else {
-            // Whoever asked has stopped waiting.
+            // Not sent, so the offer is withdrawn.
             Err(StoreError::Budget(Duration::ZERO))
         };
         if let RequestOutcome::Accepted = transfer.apply(context, outcome) {
-            request = RequestOutcome::Accepted;
+            request_outcome = RequestOutcome::Accepted;
         }
     }
-    request
+    request_outcome
 }
 
 fn prepare_transfers(
     context: &ControllerContext,
     from: ShardId,
     to: ShardId,
-    like: &Demand,
+    demand: &Demand,
 ) -> Vec<PreparedTransfer> {
     let now = context.clock.now();
     let mut guard = context.controller.lock();
@@ -75,7 +76,7 @@
     let Some(led) = led.filter(|led| led.loaded && !led.handing_over) else {
         return Vec::new();
     };
-    let offers = led.state.offer(like, &config).into_iter();
+    let offers = led.state.offer(demand, &config).into_iter();
     offers
         .filter_map(|offer| prepare_transfer(&controller.cached, led, from, to, offer, &config))
         .collect()
@@ -94,7 +95,7 @@
     let mut record = job.record(job.committed.chunk_text(0, config.chunk));
     record.transfer_tasks(to, zone.as_deref(), &tasks);
     let key = job_key(id.shard(config.shards), &id);
-    // A job in a job batch has no record of its own yet.
+    // A job that is still in a job batch has no record of its own.
     let revision = if job.in_batch {
         Revision(0)
     } else {
@@ -106,10 +107,11 @@
         .write(key, &record);
     let mut job_batches = Vec::new();
     if job.in_batch {
-        let leaving = BTreeSet::from([id.clone()]);
-        (transaction, job_batches) = cached.job_batches.take_out(transaction, &leaving);
+        let removed = BTreeSet::from([id.clone()]);
+        (transaction, job_batches) = cached.job_batches.take_out(transaction, &removed);
         if job_batches.is_empty() {
-            // It has left its job batch; the watch is about to show how.
+            // The job has been removed from its job batch; the watch will deliver its record
+            // or its end.
             led.state.withdraw_offer(&id);
             return None;
         }
@@ -139,7 +141,7 @@
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
             match outcome {
                 Err(StoreError::Unknown(_)) => led.state.doubt_offer(&self.id),
-                // Not applied, and never will be.
+                // The transaction was not applied and never will be.
                 _ => led.state.withdraw_offer(&self.id),
             }
         }
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -190,9 +190,9 @@
     }
 }
 
-fn record(n: u64) -> JobRecord {
+fn job_record(number: u64) -> JobRecord {
     let spec = serde_json::json!({
-        "uid": format!("j-{n:06}"), "lane": "c", "crew": "red", "shape": "service",
+        "uid": format!("j-{number:06}"), "lane": "c", "crew": "red", "shape": "service",
         "rank": "standard", "legs": 1, "vcpus": 1.0, "cards": 0.0, "mem_gb": 1.0,
         "cargo": "img", "size_gb": 0.0, "rigs": null, "yard": null,
         "same_place": false, "apart": false, "loaner": false, "haul_s": 0.0,
@@ -214,7 +214,7 @@
     for late in [false, true] {
         let mut controller = controller();
         lead_shard(&mut controller);
-        let job = record(1);
+        let job = job_record(1);
         let id = job.spec.id.clone();
         let key = pulleywood_protocol::record::job_key(id.shard(2), &id);
         if !late {
@@ -238,7 +238,7 @@
         let mut controller = controller();
         let (own_head, next_head) = (BatchHead { last: 1 }, BatchHead { last: 2 });
         let batch = JobBatchRecord {
-            jobs: vec![record(2)],
+            jobs: vec![job_record(2)],
             ..Default::default()
         };
         let apply_outcomes = |controller: &mut ControllerState| {
@@ -273,7 +273,7 @@
             Versioned::new(next_head, Revision(61)),
             "late: {late}"
         );
-        assert!(!controller.is_live(&record(2).spec.id), "late: {late}");
+        assert!(!controller.is_live(&job_record(2).spec.id), "late: {late}");
     }
 }
 
@@ -285,7 +285,7 @@
     for in_batch in [false, true] {
         let mut controller = controller();
         lead_shard(&mut controller);
-        let job = record(1);
+        let job = job_record(1);
         let id = job.spec.id.clone();
         let mut transferred = job.clone();
         transferred.transfer_tasks(ShardId(1), None, &TaskSet::full(1));
