--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -1,6 +1,6 @@
 //! Acquiring the leadership of a shard.
 //!
-//! One transaction draws a new fencing token, attaches the shard's leadership key to this
+//! One transaction allocates a new fencing token, attaches the shard's leadership key to this
 //! controller's session lease and replaces the record of the previous leader. It is also
 //! conditioned on the revision of the shard's quota: a quota from before the last shrink must
 //! not be used, as other shards may have been given what the shrink freed.
@@ -148,7 +148,7 @@
         {
             Ok(Outcome::Applied(revision)) => Ok(AcquireOutcome::Acquired(revision)),
             Ok(Outcome::Conflict) => {
-                // Most likely another controller drew a fencing token at the same time.
+                // Most likely another controller allocated a fencing token at the same time.
                 std::thread::sleep(Duration::from_millis(fastrand::u64(5..60)));
                 Ok(AcquireOutcome::NotAcquired)
             }
@@ -183,7 +183,7 @@
         );
         let mut controller = context.controller.lock();
         if controller.lease.lease_id != Some(self.lease_id)
-            || ended_since(&controller, self.shard, revision)
+            || leadership_ended(&controller, self.shard, revision)
         {
             return ApplyOutcome::Ended;
         }
@@ -254,7 +254,7 @@
 
 /// Whether the watch has already delivered the end of the leadership that was acquired at
 /// `revision`. It will not deliver that change again.
-fn ended_since(controller: &ControllerState, shard: ShardId, revision: Revision) -> bool {
+fn leadership_ended(controller: &ControllerState, shard: ShardId, revision: Revision) -> bool {
     let key = controller.cached.shard_leaders.get(&shard);
     controller.watch_reached(revision) && key.is_none_or(|key| key.revision != revision)
 }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -60,7 +60,7 @@
 }
 
 /// Delays the acquisition at the first start of a cluster, by this controller's position in
-/// the sorted list of all. Without that, all controllers would draw the same next fencing
+/// the sorted list of all. Without that, all controllers would allocate the next fencing
 /// token at the same time, and all but one would be refused.
 fn stagger_first_start(context: &ControllerContext) {
     const STAGGER: Duration = Duration::from_millis(40);
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -178,7 +178,7 @@
     }
 }
 
-/// Draws a new fencing token for machines that have seen a token at least as high as their
+/// Chooses a new fencing token for machines that have seen a token at least as high as their
 /// shard's; returns it with the revision of the counter, or the default if there is no such
 /// machine. Such a machine has obeyed a leader before, or its heartbeat is a late copy. Under
 /// a new token, only a heartbeat sent in response to this leader shows what runs on the
@@ -323,7 +323,7 @@
     } else if fresh_token > machine.highest_seen_token {
         fresh_token
     } else {
-        // The shard got a new leader after the fresh token was drawn.
+        // The shard got a new leader after the fresh token was chosen.
         return None;
     };
     let record = MachineRecord {
--- a/crates/pulleywood-controller/src/shard/step.rs
+++ b/crates/pulleywood-controller/src/shard/step.rs
@@ -16,7 +16,7 @@
 /// A step that the leadership thread carries out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeadershipStep {
-    /// Nothing is due.
+    /// Take no step.
     Wait,
     /// Store the layout of a new cluster.
     StoreLayout,
--- a/crates/pulleywood-controller/src/state/cached_state.rs
+++ b/crates/pulleywood-controller/src/state/cached_state.rs
@@ -15,7 +15,7 @@
     pub store_revision: u64,
     /// Layout of the cluster: the number of shards. `None` until it is stored.
     pub layout: Option<Layout>,
-    /// Last fencing token that was drawn, with the revision of the counter.
+    /// Last fencing token that was allocated, with the revision of the counter.
     pub fencing_token: Versioned<FencingToken>,
     /// Holder of the coordinator lease; `None` if nobody holds it.
     pub coordinator_lease: Option<Versioned<LeaseHolder>>,
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -75,11 +75,10 @@
         holder.member == self.controller_id && holder.boot == self.boot
     }
 
-    /// Whether a submission was refused for lack of write tokens in
-    /// the last 5 s.
+    /// Whether a submission was refused for lack of write tokens in the last 5 s.
     pub fn refused_recently(&self, now: MonotonicTime) -> bool {
-        let at = MonotonicTime(self.last_refusal_ms.load(Ordering::Relaxed));
-        at > MonotonicTime(0) && now.since(at) < Duration::from_secs(5)
+        let refused_at = MonotonicTime(self.last_refusal_ms.load(Ordering::Relaxed));
+        refused_at > MonotonicTime(0) && now.since(refused_at) < Duration::from_secs(5)
     }
 
     /// Suspends launches of jobs that are being cancelled, for the length of the session
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -28,8 +28,8 @@
         decode_record(self.value, self.path)
     }
 
-    /// What is stored of a job after its record (chunk 0) or a continuation changed; `None`
-    /// if a continuation was deleted or cannot be decoded.
+    /// Stored state of a job after its record (chunk 0) or a continuation changed; `None` if a
+    /// continuation was deleted or cannot be decoded.
     fn job_entry(&self, chunk: u32) -> Option<JobEntry> {
         match (self.value, chunk) {
             (Some(value), _) => JobEntry::decode(chunk, value, self.path),
--- a/crates/pulleywood-controller/src/state/led_shard.rs
+++ b/crates/pulleywood-controller/src/state/led_shard.rs
@@ -9,7 +9,7 @@
 pub struct DeferredChange {
     /// Id of the changed job.
     pub id: JobId,
-    /// What is stored of the job after the change.
+    /// Stored state of the job after the change.
     pub entry: JobEntry,
     /// Store revision of the change.
     pub revision: Revision,
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -9,10 +9,10 @@
 use pulleywood_scheduler::Config;
 use pulleywood_scheduler::shard::Job;
 
-/// What is stored of a job, or of one of its continuations, after a change.
+/// Stored state of a job's record, or of one of its continuations, after a change.
 #[derive(Debug, Clone)]
 pub enum JobEntry {
-    /// The job's own record, as a live job.
+    /// A record of the job's own, outside the job batches.
     Record(Box<JobRecord>),
     /// The record within a job batch, as it was when the job was accepted.
     Batched(Box<JobRecord>),
@@ -20,7 +20,7 @@
     Chunk(u32, ChunkRecord),
     /// A record that cannot be decoded, whether the job's own or the one in a job batch.
     Unreadable,
-    /// No record any more: the job has ended.
+    /// The job has ended and has no record any more.
     Ended,
 }
 
