--- a/crates/pulleywood-controller/tests/cluster/mod.rs
+++ b/crates/pulleywood-controller/tests/cluster/mod.rs
@@ -95,6 +95,11 @@
     crate_dir.join("../../deploy/recovery.lua")
 }
 
+/// The controller program of this build.
+pub fn program() -> std::path::PathBuf {
+    env!("CARGO_BIN_EXE_pulleywood").into()
+}
+
 /// Member id of a controller.
 fn name(n: usize) -> String {
     format!("c-{n}")
@@ -178,6 +183,8 @@
     pub serve_on: Vec<SocketAddr>,
     /// Settings files.
     pub files: Vec<std::path::PathBuf>,
+    /// The program of each controller, run at its next start.
+    pub programs: Vec<std::path::PathBuf>,
     /// The controllers that run.
     pub processes: Vec<Option<Child>>,
     /// `cancel_s`: how long tasks of a cancelled job may still run.
@@ -252,6 +259,7 @@
             proxies: Vec::new(),
             serve_on,
             files: Vec::new(),
+            programs: vec![program(); count],
             processes: Vec::new(),
             cancel: Duration::from_secs_f64(options.lease_s + 4.0),
             policies: options.policies.clone(),
@@ -296,7 +304,7 @@
 
     /// Starts a controller.
     pub fn start(&mut self, n: usize) {
-        let child = Command::new(env!("CARGO_BIN_EXE_pulleywood"))
+        let child = Command::new(&self.programs[n])
             .arg("--config")
             .arg(&self.files[n])
             .args(
