--- a/crates/pulleywood-scheduler/src/placement/assign.rs
+++ b/crates/pulleywood-scheduler/src/placement/assign.rs
@@ -1,10 +1,10 @@
-//! Assignment: the waiting tasks of one job go to the cheapest machines with free
-//! resources.
+//! Assignment: places the waiting tasks of one job on the machines with free resources
+//! where they cost least.
 
 use super::SchedulingCycle;
 use super::filter::zone_allows;
 use super::queue::{QueuedJob, add_usage};
-use super::score::{ScoredCandidate, warm_ends_per_s};
+use super::score::{ScoredCandidate, warm_completions_per_s};
 use crate::machine_types::MachineTypes;
 use crate::resources::ResourceVector;
 use crate::shard::Job;
@@ -12,32 +12,34 @@
 use pulleywood_protocol::{JobId, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// For a fetch shorter than this, in seconds, a task does not wait for another machine.
-const MIN_AVOIDED_FETCH_S: f64 = 1.0;
-/// A preempted task releases its resources in about this many seconds.
-const PREEMPTION_S: f64 = 6.0;
-/// Most tasks of a job that one plan leaves to preemption: a job may have very
-/// many, and each of them is looked at.
-const MAX_LEFT_TO_PREEMPTION: u32 = 64;
+/// Tasks do not wait for another machine to avoid an image fetch that is shorter than
+/// this.
+const MIN_FETCH_TO_AVOID_S: f64 = 1.0;
+/// Typical time in which a preempted task releases its resources.
+const PREEMPTION_DELAY_S: f64 = 6.0;
+/// Maximum number of a job's tasks that one plan leaves to preemption. A job may have
+/// very many tasks, and preemption examines each of them.
+const MAX_TASKS_LEFT_TO_PREEMPTION: u32 = 64;
 
-/// What became of a queue entry.
+/// Result of assigning one queue entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AssignOutcome {
-    /// Nothing is left that other resources could help: all tasks are planned or
-    /// wait for a task to end soon, or the quota is used up.
+    /// More resources would not help: all tasks are planned or wait for a task that
+    /// ends soon, or the quota is used up.
     Complete,
-    /// Some tasks found no machine.
+    /// Some tasks found no suitable machine.
     LacksCapacity,
 }
 
-/// What became of one task.
+/// Result of assigning one task.
 enum TaskOutcome {
     Assigned,
-    /// A machine that has the image will be free before another has fetched it.
-    AwaitsWarmMachine,
-    /// A machine that has the image can be freed by preemption before another has
-    /// fetched it.
-    AwaitsPreemption,
+    /// A machine that already has the image is expected to become free before another
+    /// machine could fetch the image.
+    WaitsForWarmMachine,
+    /// Preemption can free a machine that already has the image before another machine
+    /// could fetch the image.
+    WaitsForPreemption,
     NoCandidate,
 }
 
@@ -45,15 +47,15 @@
 struct Assignment<'a> {
     job: &'a Job,
     need: ResourceVector,
-    /// Machine types that the job leaves to others.
-    avoid: MachineTypes,
-    /// Tasks by zone, with what is planned.
-    zones: BTreeMap<String, u32>,
+    /// Machine types that the job leaves to jobs that can use no others.
+    avoided_types: MachineTypes,
+    /// Number of the job's tasks by zone, including planned ones.
+    tasks_by_zone: BTreeMap<String, u32>,
     candidates: Vec<ScoredCandidate>,
-    /// Tasks a second that end on machines with the image; found when first needed.
-    warm_ends_per_s: Option<f64>,
-    /// Zones where preemption would free a machine with the image; found when
-    /// needed, and again after each assignment.
+    /// Tasks per second that end on machines with the image; computed on first use.
+    warm_completions_per_s: Option<f64>,
+    /// Zones where preemption would free a machine that has the image; computed on
+    /// first use and again after each assignment.
     preemptable_zones: Option<BTreeSet<&'a str>>,
 }
 
@@ -65,32 +67,35 @@
         if !self.quota_allows(spec, &self.usage) {
             return AssignOutcome::Complete;
         }
-        let mut zones = self.state.by_zone(job);
+        let mut tasks_by_zone = self.state.by_zone(job);
         let mut planned = BTreeSet::new();
         if queued.follows_starved_entry {
-            planned = self.planned_tasks(queued.id, &mut zones);
+            planned = self.planned_tasks(queued.job_id, &mut tasks_by_zone);
         }
-        let mut assignment = self.begin_assignment(job, zones);
+        let mut assignment = self.begin_assignment(job, tasks_by_zone);
         if spec.shape == Shape::Gang && !self.gang_fits(&assignment) {
             return AssignOutcome::LacksCapacity;
         }
         let mut outcome = AssignOutcome::Complete;
-        let mut left_to_preemption = 0;
-        let waiting = job.waiting.iter().filter(|i| !planned.contains(i));
-        for index in waiting.take(queued.task_limit as usize) {
+        let mut tasks_left_to_preemption = 0;
+        let waiting = job
+            .waiting
+            .iter()
+            .filter(|task_index| !planned.contains(task_index));
+        for task_index in waiting.take(queued.task_limit as usize) {
             if !self.quota_allows(spec, &self.usage) {
                 return AssignOutcome::Complete;
             }
-            match self.assign_task(queued.id, index, &mut assignment) {
-                TaskOutcome::Assigned | TaskOutcome::AwaitsWarmMachine => {}
-                TaskOutcome::AwaitsPreemption => {
+            match self.assign_task(queued.job_id, task_index, &mut assignment) {
+                TaskOutcome::Assigned | TaskOutcome::WaitsForWarmMachine => {}
+                TaskOutcome::WaitsForPreemption => {
                     outcome = AssignOutcome::LacksCapacity;
-                    left_to_preemption += 1;
-                    if left_to_preemption > MAX_LEFT_TO_PREEMPTION {
+                    tasks_left_to_preemption += 1;
+                    if tasks_left_to_preemption > MAX_TASKS_LEFT_TO_PREEMPTION {
                         return outcome;
                     }
                 }
-                // Other tasks of the job may be bound to other zones.
+                // The job's other tasks may be bound to zones that have room.
                 TaskOutcome::NoCandidate if !job.bound.is_empty() => {
                     outcome = AssignOutcome::LacksCapacity;
                 }
@@ -100,129 +105,165 @@
         outcome
     }
 
-    /// Scores the candidates for a job. `zones`: its tasks by zone.
-    fn begin_assignment(&self, job: &'a Job, zones: BTreeMap<String, u32>) -> Assignment<'a> {
+    /// Scores the candidates for a job. `tasks_by_zone` counts its tasks in each zone.
+    fn begin_assignment(
+        &self,
+        job: &'a Job,
+        tasks_by_zone: BTreeMap<String, u32>,
+    ) -> Assignment<'a> {
         let need = ResourceVector::of_task(&job.spec);
-        let avoid = self.state.choices.left_by_job(self.config, &job.spec);
-        let candidates = self.score_candidates(job, &need, &avoid);
+        let avoided_types = self.state.choices.left_by_job(self.config, &job.spec);
+        let candidates = self.score_candidates(job, &need, &avoided_types);
         Assignment {
             job,
             need,
-            avoid,
-            zones,
+            avoided_types,
+            tasks_by_zone,
             candidates,
-            warm_ends_per_s: None,
+            warm_completions_per_s: None,
             preemptable_zones: None,
         }
     }
 
-    /// Tasks of a job that this cycle has planned; adds them to its tasks by zone.
+    /// Returns the tasks of a job that this cycle has already planned, and adds them to
+    /// `tasks_by_zone`.
     pub(super) fn planned_tasks(
         &self,
-        id: &JobId,
-        zones: &mut BTreeMap<String, u32>,
+        job_id: &JobId,
+        tasks_by_zone: &mut BTreeMap<String, u32>,
     ) -> BTreeSet<u32> {
         let mut planned = BTreeSet::new();
         for candidate in &self.candidates {
-            for task in candidate.planned.iter().filter(|t| &t.job == id) {
+            for task in candidate.planned.iter().filter(|task| &task.job == job_id) {
                 planned.insert(task.index);
-                *zones.entry(candidate.zone.to_owned()).or_insert(0) += 1;
+                *tasks_by_zone.entry(candidate.zone.to_owned()).or_insert(0) += 1;
             }
         }
         planned
     }
 
-    /// Whether all tasks of a gang can start: it is launched whole or not at all.
-    /// Its tasks share an attempt, so none is restarted before all have ended.
+    /// Returns whether all tasks of a gang can start now. A gang is launched completely
+    /// or not at all. Its tasks share an attempt number, so none is restarted before
+    /// all have ended.
     fn gang_fits(&self, assignment: &Assignment<'_>) -> bool {
-        let fitting: u32 = assignment
+        let fitting_tasks: u32 = assignment
             .candidates
             .iter()
-            .map(|c| self.candidates[c.at].free.times(&assignment.need))
+            .map(|scored| {
+                self.candidates[scored.candidate_index]
+                    .free
+                    .times(&assignment.need)
+            })
             .sum();
-        fitting >= assignment.job.waiting.len() && !assignment.job.broken
+        fitting_tasks >= assignment.job.waiting.len() && !assignment.job.broken
     }
 
-    /// Plans one task, unless it is better off waiting.
+    /// Plans one task, unless it would start earlier by waiting.
     fn assign_task(
         &mut self,
-        id: &JobId,
-        index: u32,
+        job_id: &JobId,
+        task_index: u32,
         assignment: &mut Assignment<'a>,
     ) -> TaskOutcome {
-        let Some(nth) = self.cheapest_allowed(index, assignment) else {
+        let Some(scored_index) = self.cheapest_allowed_candidate(task_index, assignment) else {
             return TaskOutcome::NoCandidate;
         };
-        let at = assignment.candidates[nth].at;
-        let delay_s = self.candidates[at].fetch_delay_s(&assignment.job.spec);
-        if self.warm_machine_is_free_within(delay_s, assignment) {
-            self.awaiting_warm_machines += 1;
-            return TaskOutcome::AwaitsWarmMachine;
+        let candidate_index = assignment.candidates[scored_index].candidate_index;
+        let delay_s = self.candidates[candidate_index].fetch_delay_s(&assignment.job.spec);
+        if self.warm_machine_expected_within(delay_s, assignment) {
+            self.tasks_awaiting_warm_machine += 1;
+            return TaskOutcome::WaitsForWarmMachine;
         }
-        if delay_s > PREEMPTION_S && self.preemption_frees_warm_machine(index, assignment) {
-            return TaskOutcome::AwaitsPreemption;
+        if delay_s > PREEMPTION_DELAY_S
+            && self.preemption_would_free_warm_machine(task_index, assignment)
+        {
+            return TaskOutcome::WaitsForPreemption;
         }
-        self.commit_task(id, index, nth, assignment);
+        self.plan_task(job_id, task_index, scored_index, assignment);
         TaskOutcome::Assigned
     }
 
-    /// The cheapest candidate in a zone that a task may go to, by its position
-    /// among the scored ones.
-    fn cheapest_allowed(&self, index: u32, assignment: &Assignment<'_>) -> Option<usize> {
-        let (job, zones) = (assignment.job, &assignment.zones);
+    /// Returns the cheapest candidate in a zone where the task may run, as an index
+    /// into the scored candidates.
+    fn cheapest_allowed_candidate(
+        &self,
+        task_index: u32,
+        assignment: &Assignment<'_>,
+    ) -> Option<usize> {
+        let (job, tasks_by_zone) = (assignment.job, &assignment.tasks_by_zone);
         assignment
             .candidates
             .iter()
             .enumerate()
-            .filter(|(_, c)| zone_allows(job, zones, index, self.candidates[c.at].zone))
-            .min_by(|(_, a), (_, b)| a.cost.total_cmp(&b.cost))
-            .map(|(nth, _)| nth)
+            .filter(|(_, scored)| {
+                zone_allows(
+                    job,
+                    tasks_by_zone,
+                    task_index,
+                    self.candidates[scored.candidate_index].zone,
+                )
+            })
+            .min_by(|(_, a), (_, b)| a.cost_s.total_cmp(&b.cost_s))
+            .map(|(scored_index, _)| scored_index)
     }
 
-    /// Whether a machine with the image is expected to have free resources for one
-    /// more task of an array before a fetch of `delay_s` ends.
-    fn warm_machine_is_free_within(&self, delay_s: f64, assignment: &mut Assignment<'_>) -> bool {
+    /// Returns whether a machine that has the image is expected to have room for one
+    /// more task of an array before an image fetch of `delay_s` seconds would end.
+    fn warm_machine_expected_within(&self, delay_s: f64, assignment: &mut Assignment<'_>) -> bool {
         let spec = &assignment.job.spec;
-        if delay_s <= MIN_AVOIDED_FETCH_S || spec.shape != Shape::Array {
+        if delay_s <= MIN_FETCH_TO_AVOID_S || spec.shape != Shape::Array {
             return false;
         }
-        let rate = *assignment
-            .warm_ends_per_s
-            .get_or_insert_with(|| warm_ends_per_s(&self.candidates, spec));
-        rate > 0.0 && f64::from(self.awaiting_warm_machines + 1) / rate < delay_s
+        let completions_per_s = *assignment
+            .warm_completions_per_s
+            .get_or_insert_with(|| warm_completions_per_s(&self.candidates, spec));
+        completions_per_s > 0.0
+            && f64::from(self.tasks_awaiting_warm_machine + 1) / completions_per_s < delay_s
     }
 
-    /// Whether preempting lower ranks would free a machine with the image in a zone
-    /// that the task may go to.
-    fn preemption_frees_warm_machine(&self, index: u32, assignment: &mut Assignment<'a>) -> bool {
+    /// Returns whether preempting lower ranks would free a machine that has the image
+    /// in a zone where the task may run.
+    fn preemption_would_free_warm_machine(
+        &self,
+        task_index: u32,
+        assignment: &mut Assignment<'a>,
+    ) -> bool {
         let job = assignment.job;
         let preemptable_zones = assignment
             .preemptable_zones
             .get_or_insert_with(|| self.preemptable_warm_zones(job));
         preemptable_zones
             .iter()
-            .any(|zone| zone_allows(job, &assignment.zones, index, zone))
+            .any(|zone| zone_allows(job, &assignment.tasks_by_zone, task_index, zone))
     }
 
-    /// Plans a task on the `nth` scored candidate.
-    fn commit_task(&mut self, id: &JobId, index: u32, nth: usize, assignment: &mut Assignment<'a>) {
+    /// Plans a task on the scored candidate at `scored_index`.
+    fn plan_task(
+        &mut self,
+        job_id: &JobId,
+        task_index: u32,
+        scored_index: usize,
+        assignment: &mut Assignment<'a>,
+    ) {
         let spec: &'a JobSpec = &assignment.job.spec;
-        let at = assignment.candidates[nth].at;
-        let candidate = &mut self.candidates[at];
-        candidate.add_task(id, index, spec);
+        let candidate_index = assignment.candidates[scored_index].candidate_index;
+        let candidate = &mut self.candidates[candidate_index];
+        candidate.add_task(job_id, task_index, spec);
         assignment.preemptable_zones = None;
         *assignment
-            .zones
+            .tasks_by_zone
             .entry(candidate.zone.to_owned())
             .or_insert(0) += 1;
         add_usage(&mut self.usage, &spec.team, assignment.need.slots());
         if candidate.launches_left > 0 && candidate.free.fits(&assignment.need) {
-            assignment.candidates[nth].cost = candidate.cost(spec, &assignment.avoid, self.config);
+            assignment.candidates[scored_index].cost_s =
+                candidate.cost_s(spec, &assignment.avoided_types, self.config);
         } else {
-            assignment.candidates.swap_remove(nth);
+            assignment.candidates.swap_remove(scored_index);
         }
         if candidate.launches_left == 0 || !candidate.free.fits(&self.smallest_task) {
-            self.open.retain(|&open| open != at);
+            self.open_candidates
+                .retain(|&index| index != candidate_index);
         }
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/borrowed.rs
+++ b/crates/pulleywood-scheduler/src/placement/borrowed.rs
@@ -1,11 +1,11 @@
-//! Borrowed usage: what teams use above their guarantees, and how much of it this
-//! shard may preempt for other teams.
+//! Borrowed usage: what teams use above their guarantees, and how much of it this shard
+//! may preempt for other teams.
 //!
-//! Shards decide alone what they preempt, and all see the same borrowed usage. If
-//! each preempted all of it, the team would fall below its guarantee: its tasks would
-//! come first again, take what was released, and be preempted once more. So a shard
-//! preempts no more than its share of the borrowed usage, in proportion to what it
-//! runs of the team.
+//! Each shard decides independently what it preempts, but all shards see the same
+//! borrowed usage. If each of them preempted all of it, the team would fall below its
+//! guarantee: its tasks would regain priority, take the released resources, and be
+//! preempted again. Therefore a shard preempts at most a part of the borrowed usage
+//! that is proportional to its part of the team's total usage.
 
 use crate::config::{Config, Team};
 use crate::resources::{ResourceVector, add};
@@ -14,92 +14,95 @@
 use pulleywood_protocol::record::Slots;
 use std::collections::BTreeMap;
 
-/// Amounts are compared with this tolerance, since they are summed as floats.
+/// Tolerance for comparing amounts, which are sums of floating-point numbers.
 const TOLERANCE: f64 = 1e-6;
 
-/// What a shard may still preempt of each team that runs tasks in it.
+/// How much the shard may still preempt of each team that runs tasks in it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BorrowedUsage<'a> {
-    by_team: BTreeMap<&'a str, TeamBorrowing>,
+    by_team: BTreeMap<&'a str, PreemptableUsage>,
 }
 
-/// What may still be preempted of one team; none for a resource without a guarantee.
+/// How much may still be preempted of one team; `None` for a resource that the team has
+/// no guarantee for.
 #[derive(Debug, Clone, Copy)]
-struct TeamBorrowing {
+struct PreemptableUsage {
     cpus: Option<f64>,
     gpus: Option<f64>,
 }
 
-impl TeamBorrowing {
-    /// `here`: what the team runs in the shard, `everywhere`: in all shards.
-    fn new(team: &Team, here: Slots, everywhere: Slots) -> Self {
-        let share = |here: f64, all: f64, guaranteed: f64| {
-            let borrowed = (all - guaranteed).max(0.0);
+impl PreemptableUsage {
+    /// Computes the shard's part of the team's borrowed usage. `shard_usage` is what
+    /// the team uses in this shard, `total_usage` what it uses in all shards.
+    fn new(team: &Team, shard_usage: Slots, total_usage: Slots) -> Self {
+        let share = |in_shard: f64, total: f64, guaranteed: f64| {
+            let borrowed = (total - guaranteed).max(0.0);
             (guaranteed > 0.0).then(|| {
-                if all > 0.0 {
-                    borrowed * here / all
+                if total > 0.0 {
+                    borrowed * in_shard / total
                 } else {
                     0.0
                 }
             })
         };
         let guarantee = team.guarantee;
-        TeamBorrowing {
-            cpus: share(here.cpus.0, everywhere.cpus.0, guarantee.cpus.0),
-            gpus: share(here.gpus.0, everywhere.gpus.0, guarantee.gpus.0),
+        PreemptableUsage {
+            cpus: share(shard_usage.cpus.0, total_usage.cpus.0, guarantee.cpus.0),
+            gpus: share(shard_usage.gpus.0, total_usage.gpus.0, guarantee.gpus.0),
         }
     }
 
-    /// Takes a task's amounts out. Returns false, and takes nothing, if the task lies
-    /// within the guarantee. A task that uses nothing guaranteed never does.
-    fn take(&mut self, task: Slots) -> bool {
+    /// Subtracts a task's amounts. Returns false, and subtracts nothing, if the task is
+    /// covered by the guarantee. A task that uses no guaranteed resource is never
+    /// covered.
+    fn try_take(&mut self, task: Slots) -> bool {
         let amounts = [(self.cpus, task.cpus.0), (self.gpus, task.gpus.0)];
-        let mut counted = amounts
+        let mut guaranteed_amounts = amounts
             .iter()
             .filter_map(|(left, task)| left.map(|left| (left, *task)))
             .filter(|(_, task)| *task > 0.0)
             .peekable();
-        let beyond =
-            counted.peek().is_none() || counted.any(|(left, task)| task <= left + TOLERANCE);
-        if beyond {
+        let is_borrowed = guaranteed_amounts.peek().is_none()
+            || guaranteed_amounts.any(|(left, task)| task <= left + TOLERANCE);
+        if is_borrowed {
             self.cpus = self.cpus.map(|left| left - task.cpus.0);
             self.gpus = self.gpus.map(|left| left - task.gpus.0);
         }
-        beyond
+        is_borrowed
     }
 }
 
 impl<'a> BorrowedUsage<'a> {
-    /// The borrowed usage of a shard. Tasks that were told to stop are not counted:
-    /// what they hold is being released already.
+    /// Computes the borrowed usage of a shard. Tasks that are being stopped are not
+    /// counted, because their resources are already being released.
     pub(crate) fn of(state: &'a ShardState, config: &Config) -> Self {
-        let mut here: BTreeMap<&str, Slots> = BTreeMap::new();
+        let mut usage_by_team: BTreeMap<&str, Slots> = BTreeMap::new();
         for slot in state.machines.values().flat_map(|m| &m.slots) {
             if let Some(spec) = &slot.spec
                 && slot.holds_room()
                 && slot.stop.is_none()
             {
-                let sum = here.entry(spec.team.as_str()).or_default();
+                let sum = usage_by_team.entry(spec.team.as_str()).or_default();
                 add(sum, ResourceVector::of_task(spec).slots());
             }
         }
-        let by_team = here.into_iter().filter_map(|(name, here)| {
+        let by_team = usage_by_team.into_iter().filter_map(|(name, shard_usage)| {
             let team = config.teams.get(name)?;
-            let mut everywhere = here;
+            let mut total_usage = shard_usage;
             if let Some(elsewhere) = state.elsewhere.get(name) {
-                add(&mut everywhere, *elsewhere);
+                add(&mut total_usage, *elsewhere);
             }
-            Some((name, TeamBorrowing::new(team, here, everywhere)))
+            Some((name, PreemptableUsage::new(team, shard_usage, total_usage)))
         });
         BorrowedUsage {
             by_team: by_team.collect(),
         }
     }
 
-    /// Takes a task that is to be preempted out of its team's borrowed usage. Returns
-    /// false if it lies within the team's guarantee.
-    pub(crate) fn take(&mut self, spec: &JobSpec) -> bool {
+    /// Subtracts a task that is to be preempted from its team's borrowed usage. Returns
+    /// false if the task is covered by the team's guarantee.
+    pub(crate) fn try_take(&mut self, spec: &JobSpec) -> bool {
         let team = self.by_team.get_mut(spec.team.as_str());
-        team.is_some_and(|team| team.take(ResourceVector::of_task(spec).slots()))
+        team.is_some_and(|team| team.try_take(ResourceVector::of_task(spec).slots()))
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/candidates.rs
+++ b/crates/pulleywood-scheduler/src/placement/candidates.rs
@@ -1,4 +1,4 @@
-//! Candidate machines: those that may be given tasks now, with their resources.
+//! Candidate machines: the machines that can accept tasks now, and their resources.
 
 use crate::config::Config;
 use crate::resources::{MOST_TASKS, ResourceVector};
@@ -10,50 +10,50 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A machine is given nothing once this many heartbeat intervals, and the margin,
-/// have passed since its last heartbeat: it may be dead.
-const MISSED_HEARTBEATS: f64 = 3.0;
-/// Allowance for the network and for busy controllers.
+/// A machine receives no tasks once this many heartbeat intervals, plus the margin,
+/// have passed since its last heartbeat, because it may be dead.
+const MAX_MISSED_HEARTBEATS: f64 = 3.0;
+/// Margin for delays in the network and in busy controllers.
 const HEARTBEAT_MARGIN: Duration = Duration::from_secs(1);
-/// Most launches for one machine in one plan: they go out in one heartbeat
-/// response, whose size is limited.
-const MAX_LAUNCHES: usize = 100;
-/// Shortest run, in seconds, that is assumed of a task: shorter estimates would
-/// promise more task ends than heartbeats can report.
-const MIN_RUN_S: f64 = 5.0;
+/// Maximum number of launches for one machine in one plan. They are sent in one
+/// heartbeat response, whose size is limited.
+const MAX_LAUNCHES_PER_PLAN: usize = 100;
+/// Lower bound of a task's estimated run time. Shorter estimates would predict more
+/// completions than heartbeats can report.
+const MIN_RUN_TIME_S: f64 = 5.0;
 
-/// A machine as one scheduling cycle sees and changes it.
+/// A machine in one scheduling cycle, updated as tasks are planned.
 pub(super) struct CandidateMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) slots: &'a [Slot],
     pub(super) zone: &'a str,
     pub(super) flavor: &'a str,
     pub(super) spot: bool,
-    /// All resources of the machine.
+    /// Total resources of the machine.
     pub(super) capacity: ResourceVector,
     pub(super) free: ResourceVector,
-    /// Resources of tasks that were told to stop.
+    /// Resources held by tasks that are being stopped.
     pub(super) releasing: ResourceVector,
-    /// Free resources that only this job may use.
+    /// Free resources reserved for one job, and that job.
     pub(super) reserved: Option<(&'a JobId, ResourceVector)>,
     pub(super) fetch_gb_per_s: f64,
-    /// Images present, with their size in GB.
+    /// Cached images with their sizes in GB.
     pub(super) images: &'a VecDeque<(String, f64)>,
-    /// Images that are being fetched.
+    /// Images being fetched.
     pub(super) fetching: Vec<&'a str>,
-    /// Gigabytes of those images.
+    /// Total size of those images in GB.
     pub(super) fetch_queue_gb: f64,
-    /// Share of the machine held by tasks that may not run on spot machines.
-    pub(super) pinned: f64,
-    /// Tasks expected to end here a second.
-    pub(super) ends_per_s: f64,
-    /// Seconds until its next heartbeat, in whose response a launch would go out.
+    /// Dominant share of the machine held by tasks that may not run on spot machines.
+    pub(super) pinned_share: f64,
+    /// Expected number of tasks per second that end on this machine.
+    pub(super) completions_per_s: f64,
+    /// Seconds until the next heartbeat, whose response can carry a launch.
     pub(super) next_heartbeat_s: f64,
-    /// Tasks that one plan may still add.
+    /// Number of tasks that this plan may still add.
     pub(super) launches_left: usize,
-    /// Tasks that this plan adds.
+    /// Tasks that this plan launches.
     pub(super) planned: Vec<TaskId>,
-    /// Slots that this plan stops, with their grace period in seconds.
+    /// Indices of the slots that this plan stops, with their grace periods in seconds.
     pub(super) preemptions: Vec<(usize, f64)>,
 }
 
@@ -80,39 +80,40 @@
             images: &machine.images,
             fetching: usage.fetching,
             fetch_queue_gb: usage.fetch_queue_gb,
-            pinned: usage.pinned.share_of(&capacity),
-            ends_per_s: usage.ends_per_s,
+            pinned_share: usage.pinned.share_of(&capacity),
+            completions_per_s: usage.completions_per_s,
             next_heartbeat_s,
             launches_left: (MOST_TASKS as usize)
                 .saturating_sub(machine.slots.len())
-                .min(MAX_LAUNCHES),
+                .min(MAX_LAUNCHES_PER_PLAN),
             planned: Vec::new(),
             preemptions: Vec::new(),
         }
     }
 
-    /// What is free for a job's task, including what is reserved for the job.
+    /// Returns the resources available to a job's task, including those reserved for
+    /// the job.
     pub(super) fn free_for(&self, spec: &JobSpec) -> ResourceVector {
         let mut free = self.free;
-        if let Some((id, reserved)) = self.reserved
-            && *id == spec.id
+        if let Some((job_id, reserved)) = self.reserved
+            && *job_id == spec.id
         {
             free += reserved;
         }
         free
     }
 
-    /// Plans a task here and takes its resources.
-    pub(super) fn add_task(&mut self, id: &JobId, index: u32, spec: &'a JobSpec) {
+    /// Plans a task on this machine and allocates its resources.
+    pub(super) fn add_task(&mut self, job_id: &JobId, task_index: u32, spec: &'a JobSpec) {
         self.planned.push(TaskId {
-            job: id.clone(),
-            index,
+            job: job_id.clone(),
+            index: task_index,
         });
         self.launches_left = self.launches_left.saturating_sub(1);
         let need = ResourceVector::of_task(spec);
         self.free -= need;
         if !spec.spot {
-            self.pinned += need.share_of(&self.capacity);
+            self.pinned_share += need.share_of(&self.capacity);
         }
         if spec.image_gb.0 > 0.0 && !self.has_image(spec) && !self.is_fetching(spec) {
             self.fetching.push(&spec.image);
@@ -121,14 +122,14 @@
     }
 }
 
-/// What the tasks on a machine use.
+/// Resources used by the tasks on a machine.
 struct SlotUsage<'a> {
     free: ResourceVector,
     pinned: ResourceVector,
     releasing: ResourceVector,
     fetching: Vec<&'a str>,
     fetch_queue_gb: f64,
-    ends_per_s: f64,
+    completions_per_s: f64,
 }
 
 impl<'a> SlotUsage<'a> {
@@ -139,9 +140,9 @@
             releasing: ResourceVector::default(),
             fetching: Vec::new(),
             fetch_queue_gb: 0.0,
-            ends_per_s: 0.0,
+            completions_per_s: 0.0,
         };
-        for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+        for slot in machine.slots.iter().filter(|slot| slot.holds_room()) {
             if let Some(spec) = &slot.spec {
                 usage.add(machine, slot, spec);
             }
@@ -150,19 +151,19 @@
     }
 
     fn add(&mut self, machine: &Machine, slot: &Slot, spec: &'a JobSpec) {
-        let held = ResourceVector::of_task(spec);
-        self.free -= held;
+        let held_resources = ResourceVector::of_task(spec);
+        self.free -= held_resources;
         if !spec.spot {
-            self.pinned += held;
+            self.pinned += held_resources;
         }
         if slot.stop.is_some() {
-            self.releasing += held;
+            self.releasing += held_resources;
         }
         if spec.shape != Shape::Service && slot.state == SlotState::Running {
-            self.ends_per_s += 1.0 / spec.estimate_s.0.max(MIN_RUN_S);
+            self.completions_per_s += 1.0 / spec.estimate_s.0.max(MIN_RUN_TIME_S);
         }
-        let awaits_image = matches!(slot.state, SlotState::Sent { .. } | SlotState::Fetching);
-        if awaits_image
+        let waits_for_image = matches!(slot.state, SlotState::Sent { .. } | SlotState::Fetching);
+        if waits_for_image
             && !self.fetching.contains(&spec.image.as_str())
             && !machine.images.iter().any(|(name, _)| *name == spec.image)
         {
@@ -172,27 +173,28 @@
     }
 }
 
-/// Whether a machine may be given tasks now, whatever they need.
+/// Returns whether a machine can accept tasks now, whatever they need.
 fn is_schedulable(machine: &Machine, now: MonotonicTime, max_heartbeat_age: Duration) -> bool {
-    let in_touch = machine
+    let heartbeat_is_recent = machine
         .heard
         .is_some_and(|at| now.since(at) < max_heartbeat_age);
     machine.confirmed
-        && in_touch
+        && heartbeat_is_recent
         && machine.inbound_partitioned_since.is_none()
         && machine.stays_in_use(now)
         && !machine.has_foreign()
 }
 
-/// The machines of a shard that may be given tasks now, in the order of their ids.
-/// `reporter`: the machine whose heartbeat is being answered.
+/// Returns the machines of a shard that can accept tasks now, in the order of their
+/// ids. `reporter` is the machine whose heartbeat is being answered.
 pub(super) fn collect<'a>(
     state: &'a ShardState,
     reporter: &MachineId,
     now: MonotonicTime,
     config: &Config,
 ) -> Vec<CandidateMachine<'a>> {
-    let max_heartbeat_age = config.heartbeat_interval.mul_f64(MISSED_HEARTBEATS) + HEARTBEAT_MARGIN;
+    let max_heartbeat_age =
+        config.heartbeat_interval.mul_f64(MAX_MISSED_HEARTBEATS) + HEARTBEAT_MARGIN;
     let mut candidates = Vec::with_capacity(state.machines.len());
     for (id, machine) in &state.machines {
         if !is_schedulable(machine, now, max_heartbeat_age) {
--- a/crates/pulleywood-scheduler/src/placement/claim.rs
+++ b/crates/pulleywood-scheduler/src/placement/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: which tasks may be preempted for which.
+//! Claims: which running tasks may be preempted for a waiting task.
 
 use super::SchedulingCycle;
 use super::queue::usage_in_all_shards;
@@ -7,28 +7,29 @@
 use pulleywood_protocol::record::Slots;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a task may be preempted for another.
+/// Whether a running task may be preempted for a waiting one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Preemptable {
     Never,
     Always,
-    /// As long as its team uses more than its guarantee.
+    /// Only while the running task's team uses more than its guarantee.
     IfBorrowed,
 }
 
-/// What a job's next task may preempt.
+/// Determines what a job's next task may preempt.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Claim<'a> {
-    /// The task lies within its team's guarantee.
+    /// Whether the task is covered by its team's guarantee.
     guaranteed: bool,
-    /// If so, the other teams whose use is not within a guarantee.
+    /// The other teams that use more than their guarantees; empty unless `guaranteed`.
     borrowing_teams: BTreeSet<&'a str>,
 }
 
 impl Claim<'_> {
-    /// Whether a task of `victim` may be preempted for one of `spec`. Work within a
-    /// guarantee comes before all that is not, whatever the rank: otherwise the two
-    /// would preempt each other, and neither would make progress.
+    /// Returns whether a task of job `victim` may be preempted for a task of job
+    /// `spec`. Tasks covered by a guarantee take precedence over all others, whatever
+    /// their ranks. Otherwise the two kinds would preempt each other, and neither would
+    /// make progress.
     pub(super) fn preemptable(&self, spec: &JobSpec, victim: &JobSpec) -> Preemptable {
         let other_team = victim.team != spec.team;
         if victim.rank < spec.rank && (self.guaranteed || !other_team) {
@@ -44,18 +45,21 @@
 }
 
 impl<'a> SchedulingCycle<'a> {
-    /// What a job's next task may preempt. `usage`: the teams' usage with what is
-    /// planned.
+    /// Returns what a job's next task may preempt. `usage` is the teams' usage
+    /// including planned tasks.
     pub(super) fn claim(&self, spec: &JobSpec, usage: &BTreeMap<String, Slots>) -> Claim<'a> {
-        let mut own = usage_in_all_shards(self.state, &spec.team, usage);
-        add(&mut own, ResourceVector::of_task(spec).slots());
+        let mut own_usage = usage_in_all_shards(self.state, &spec.team, usage);
+        add(&mut own_usage, ResourceVector::of_task(spec).slots());
         let teams = &self.config.teams;
-        if !teams.get(&spec.team).is_some_and(|t| t.guarantees(own)) {
+        if !teams
+            .get(&spec.team)
+            .is_some_and(|team| team.guarantees(own_usage))
+        {
             return Claim::default();
         }
         let others = teams.iter().filter(|(name, _)| **name != spec.team);
         let borrowing = others
-            .filter(|(name, t)| !t.guarantees(usage_in_all_shards(self.state, name, usage)))
+            .filter(|(name, team)| !team.guarantees(usage_in_all_shards(self.state, name, usage)))
             .map(|(name, _)| name.as_str());
         Claim {
             guaranteed: true,
@@ -63,8 +67,8 @@
         }
     }
 
-    /// Whether any running task may be preempted for a job's task.
-    pub(super) fn may_preempt(&self, spec: &JobSpec, claim: &Claim<'_>) -> bool {
+    /// Returns whether any running task may be preempted for a job's task.
+    pub(super) fn may_preempt_any(&self, spec: &JobSpec, claim: &Claim<'_>) -> bool {
         self.lowest_rank.is_some_and(|rank| rank < spec.rank)
             || self
                 .running_teams
@@ -72,9 +76,9 @@
                 .any(|team| claim.borrowing_teams.contains(team))
     }
 
-    /// Whether machines are missing on which the job may find free resources soon:
-    /// right after this leader could answer workers again, most heartbeats are yet
-    /// to come. Nothing is preempted until then.
+    /// Returns whether machines that have not reported yet may soon offer the job free
+    /// resources. Right after this leader regains contact with the workers, most
+    /// heartbeats are still outstanding. Nothing is preempted for the job until then.
     pub(super) fn capacity_may_return(&self, spec: &JobSpec) -> bool {
         self.state.returning_room(spec, self.now, self.config)
     }
--- a/crates/pulleywood-scheduler/src/placement/mod.rs
+++ b/crates/pulleywood-scheduler/src/placement/mod.rs
@@ -1,18 +1,22 @@
-//! Placement: which waiting task goes to which machine, and which running task is
-//! stopped for it.
+//! Placement: assigns waiting tasks to machines and selects the running tasks to
+//! preempt for them.
 //!
-//! A scheduling cycle makes a plan for the whole shard. It runs when a heartbeat is
-//! answered and something has changed, or the last plan is out of date. A machine is
-//! told its part of the plan in the response to its next heartbeat. The stages:
+//! Each scheduling cycle makes a plan for the whole shard. A cycle runs while a
+//! heartbeat is being answered, if the shard's state has changed or the previous plan
+//! has expired. Each machine receives its part of the plan in the response to its next
+//! heartbeat. The stages of a cycle:
 //!
 //! 1. `queue` orders the waiting jobs of each team.
-//! 2. `candidates` collects the machines that may be given tasks, and their resources.
-//! 3. `assign` gives the tasks of one job after the other, team by team, to the
-//!    machines that `filter` allows and for which `score` is lowest.
-//! 4. `reserve` withholds free resources from other jobs for one that fits nowhere.
-//! 5. `preempt` stops running tasks for the jobs that are left. `claim` says which
-//!    tasks may be stopped, `victims` which of them are the cheapest, and `borrowed`
-//!    how much of a team's usage lies above its guarantee.
+//! 2. `candidates` collects the machines that can accept tasks, and their free
+//!    resources.
+//! 3. `assign` places the tasks of one job at a time, alternating between teams, on the
+//!    machines that `filter` accepts and that have the lowest cost in `score`.
+//! 4. `reserve` withholds free resources from other jobs for a job that fits nowhere.
+//! 5. `preempt` stops running tasks for the jobs that are still unplaced. `claim`
+//!    determines which tasks may be stopped, `victims` selects the cheapest of them,
+//!    and `borrowed` computes how much of a team's usage exceeds its guarantee.
+//!
+//! A machine is warm for a job if it has the job's image in its cache.
 
 mod assign;
 mod borrowed;
@@ -39,16 +43,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A plan is made anew after this long even if nothing changed: jobs become
-/// starved, and heartbeats overdue, as time passes.
-const PLAN_AGE: Duration = Duration::from_millis(1000);
+/// Maximum age of a plan. An unchanged shard needs a new plan too, because jobs become
+/// starved and heartbeats become overdue as time passes.
+const MAX_PLAN_AGE: Duration = Duration::from_millis(1000);
 
-/// A slot of a machine whose task is to be stopped.
+/// A running task to be stopped.
 struct Preemption {
     machine: MachineId,
-    /// Position of the slot.
+    /// Index of the task's slot in the machine's slot list.
     slot: usize,
-    /// Seconds that the task has to stop by itself.
+    /// Seconds that the task has to save its state and exit.
     grace_s: f64,
 }
 
@@ -57,15 +61,18 @@
 struct Plan {
     launches: BTreeMap<MachineId, Vec<TaskId>>,
     preemptions: Vec<Preemption>,
-    /// How many times a machine was examined for a job: the cycle's cost.
+    /// Number of (job, machine) pairs examined, a measure of the cycle's cost.
     candidates_examined: u64,
 }
 
 impl ShardState {
-    /// Makes a new plan if the last one is out of date.
-    /// `reporter`: the machine whose heartbeat is being answered.
+    /// Makes a new plan if the previous one has expired. `reporter` is the machine
+    /// whose heartbeat is being answered.
     pub(crate) fn replan(&mut self, reporter: &MachineId, now: MonotonicTime, config: &Config) {
-        if self.planned_at.is_some_and(|at| now.since(at) < PLAN_AGE) {
+        if self
+            .planned_at
+            .is_some_and(|at| now.since(at) < MAX_PLAN_AGE)
+        {
             return;
         }
         self.planned_at = Some(now);
@@ -80,53 +87,55 @@
         }
     }
 
-    /// One scheduling cycle.
+    /// Runs one scheduling cycle.
     fn make_plan(&self, reporter: &MachineId, now: MonotonicTime, config: &Config) -> Plan {
         let mut queues = queue::collect(self, now, config);
-        // Most heartbeats of a quiet fleet find nothing that waits.
+        // Most heartbeats of an idle fleet arrive while no job is waiting.
         if queues.is_empty() {
             return Plan::default();
         }
         let mut cycle = SchedulingCycle::new(self, reporter, now, config, &queues);
-        let unplaced = cycle.assign_all(&mut queues);
-        for queued in unplaced {
+        let unplaced_jobs = cycle.assign_all(&mut queues);
+        for queued in unplaced_jobs {
             cycle.preempt(&queued);
         }
         cycle.finish()
     }
 }
 
-/// One scheduling cycle. Its work is bounded by the machines with free resources
-/// for each waiting job, not by all machines for each waiting task.
+/// The state of one scheduling cycle. The cost of a cycle is bounded by the number of
+/// machines with free resources per waiting job, not by the number of all machines per
+/// waiting task.
 struct SchedulingCycle<'a> {
     state: &'a ShardState,
     config: &'a Config,
     now: MonotonicTime,
-    /// Machines that may be given tasks; other fields refer to them by index.
+    /// Machines that can accept tasks. Other fields refer to them by index.
     candidates: Vec<CandidateMachine<'a>>,
-    /// Candidates with free resources for the smallest task that waits.
-    open: Vec<usize>,
-    /// Candidates on which tasks were told to stop.
-    releasing: BTreeSet<usize>,
-    /// The least of each resource that any waiting task needs.
+    /// Indices of candidates with enough free resources for `smallest_task`.
+    open_candidates: Vec<usize>,
+    /// Indices of candidates with tasks that are being stopped.
+    releasing_candidates: BTreeSet<usize>,
+    /// Smallest amount of each resource that any waiting task needs.
     smallest_task: ResourceVector,
-    /// Teams' usage in this shard, with what is planned.
+    /// Usage by team in this shard, including planned tasks.
     usage: BTreeMap<String, Slots>,
-    /// All resources of the shard's machines.
+    /// Total capacity of the shard's machines.
     capacity: ResourceVector,
-    /// The lowest rank among the tasks on the candidates.
+    /// Lowest rank among the tasks running on the candidates; `None` if none run.
     lowest_rank: Option<Rank>,
-    /// Teams with tasks on the candidates.
+    /// Teams that run tasks on the candidates.
     running_teams: Vec<&'a str>,
-    /// What may still be preempted of teams' usage above their guarantees.
+    /// How much of each team's usage above its guarantee may still be preempted.
     borrowed: BorrowedUsage<'a>,
-    /// Tasks that wait for a machine with their image to become free.
-    awaiting_warm_machines: u32,
-    /// A machine was reserved for a starved job; one a cycle is enough.
-    starved_job_has_machine: bool,
-    /// Teams for which resources were, or need not be, reserved.
-    teams_with_reservation: Vec<&'a str>,
-    /// How many times a candidate was examined for a job.
+    /// Number of tasks left waiting for a busy machine that has their image.
+    tasks_awaiting_warm_machine: u32,
+    /// Whether a machine was reserved for a starved job; at most one is reserved per
+    /// cycle.
+    starved_job_has_reservation: bool,
+    /// Teams that were already considered for a fair-share reservation.
+    teams_considered_for_reservation: Vec<&'a str>,
+    /// Number of (job, candidate) pairs examined.
     candidates_examined: Cell<u64>,
 }
 
@@ -140,37 +149,38 @@
     ) -> Self {
         let candidates = candidates::collect(state, reporter, now, config);
         let smallest_task = smallest_task(queues);
-        let (lowest_rank, running_teams) = running(&candidates);
+        let (lowest_rank, running_teams) = lowest_rank_and_teams(&candidates);
         let indices = || 0..candidates.len();
-        let is_open = |at: &usize| {
-            let candidate = &candidates[*at];
+        let has_room_for_smallest = |index: &usize| {
+            let candidate = &candidates[*index];
             candidate.launches_left > 0 && candidate.free.fits(&smallest_task)
         };
-        let is_releasing = |at: &usize| candidates[*at].releasing != ResourceVector::default();
+        let is_releasing =
+            |index: &usize| candidates[*index].releasing != ResourceVector::default();
         SchedulingCycle {
             state,
             config,
             now,
-            capacity: capacity(state, config),
-            open: indices().filter(is_open).collect(),
-            releasing: indices().filter(is_releasing).collect(),
+            capacity: total_capacity(state, config),
+            open_candidates: indices().filter(has_room_for_smallest).collect(),
+            releasing_candidates: indices().filter(is_releasing).collect(),
             candidates,
             smallest_task,
             usage: state.used(config),
             lowest_rank,
             running_teams,
             borrowed: BorrowedUsage::of(state, config),
-            awaiting_warm_machines: 0,
-            starved_job_has_machine: false,
-            teams_with_reservation: Vec::new(),
+            tasks_awaiting_warm_machine: 0,
+            starved_job_has_reservation: false,
+            teams_considered_for_reservation: Vec::new(),
             candidates_examined: Cell::new(0),
         }
     }
 
-    /// Assigns the tasks of all queues, and reserves resources for jobs that found
-    /// too few. Returns the jobs for which tasks may be preempted.
+    /// Assigns the tasks of all queues and reserves resources for jobs that could not
+    /// be placed completely. Returns the jobs for which tasks may be preempted.
     fn assign_all(&mut self, queues: &mut Queues<'a>) -> Vec<QueuedJob<'a>> {
-        let mut unplaced = Vec::new();
+        let mut unplaced_jobs = Vec::new();
         while let Some(team) = self.next_team(queues) {
             let Some(queue) = queues.get_mut(team) else {
                 break;
@@ -184,10 +194,10 @@
             }
             self.reserve(&queued, queues);
             if !queued.follows_starved_entry && !queued.job.health.is_broken() {
-                unplaced.push(queued);
+                unplaced_jobs.push(queued);
             }
         }
-        unplaced
+        unplaced_jobs
     }
 
     fn count_examined(&self, count: u64) {
@@ -217,7 +227,7 @@
     }
 }
 
-/// The least of each resource that any waiting task needs.
+/// Returns the smallest amount of each resource that any waiting task needs.
 fn smallest_task(queues: &Queues<'_>) -> ResourceVector {
     let unlimited = ResourceVector {
         cpus: f64::INFINITY,
@@ -230,13 +240,13 @@
     })
 }
 
-/// The lowest rank of the tasks on the candidates, and their teams.
-fn running<'a>(candidates: &[CandidateMachine<'a>]) -> (Option<Rank>, Vec<&'a str>) {
+/// Returns the lowest rank of the tasks running on the candidates, and their teams.
+fn lowest_rank_and_teams<'a>(candidates: &[CandidateMachine<'a>]) -> (Option<Rank>, Vec<&'a str>) {
     let mut lowest_rank: Option<Rank> = None;
     let mut teams: Vec<&str> = Vec::new();
-    for slot in candidates.iter().flat_map(|c| c.slots) {
+    for slot in candidates.iter().flat_map(|candidate| candidate.slots) {
         if let Some(spec) = slot.spec.as_ref().filter(|_| slot.holds_room()) {
-            lowest_rank = Some(lowest_rank.map_or(spec.rank, |l| l.min(spec.rank)));
+            lowest_rank = Some(lowest_rank.map_or(spec.rank, |lowest| lowest.min(spec.rank)));
             if !teams.contains(&spec.team.as_str()) {
                 teams.push(&spec.team);
             }
@@ -245,8 +255,8 @@
     (lowest_rank, teams)
 }
 
-/// All resources of a shard's machines.
-fn capacity(state: &ShardState, config: &Config) -> ResourceVector {
+/// Total capacity of the shard's machines. Machines of an unknown type are not counted.
+fn total_capacity(state: &ShardState, config: &Config) -> ResourceVector {
     let mut capacity = ResourceVector::default();
     for machine in state.machines.values() {
         if let Some(flavor) = config.flavors.get(&machine.record.flavor) {
--- a/crates/pulleywood-scheduler/src/placement/reserve.rs
+++ b/crates/pulleywood-scheduler/src/placement/reserve.rs
@@ -1,7 +1,7 @@
-//! Reservations: free resources withheld from other jobs until a large task fits.
+//! Reservations: withholds free resources from other jobs until a large task fits.
 //!
-//! As tasks end on such a machine, the reserved resources grow. Without them,
-//! smaller tasks would take each piece as it comes free.
+//! As tasks on a reserved machine end, the reserved resources grow. Without
+//! reservations, smaller tasks would take each resource as soon as it became free.
 
 use super::SchedulingCycle;
 use super::candidates::CandidateMachine;
@@ -12,94 +12,114 @@
 use pulleywood_protocol::{JobSpec, MachineId};
 
 impl<'a> SchedulingCycle<'a> {
-    /// Reserves resources for a job that found no candidate.
+    /// Reserves resources for a job that could not be placed completely.
     pub(super) fn reserve(&mut self, queued: &QueuedJob<'a>, queues: &Queues<'a>) {
-        if queued.is_starved() && !self.starved_job_has_machine {
-            self.starved_job_has_machine = self.reserve_machines(queued, 1) > 0;
+        if queued.is_starved() && !self.starved_job_has_reservation {
+            self.starved_job_has_reservation = self.reserve_machines(queued, 1) > 0;
         }
         let queue = queues.get(queued.job.spec.team.as_str());
         let same_rank = queue
             .into_iter()
             .flatten()
-            .filter(|q| q.rank == queued.rank);
-        let waiting = same_rank.map(|q| q.job.waiting.len()).sum::<u32>();
-        self.reserve_fair_share(queued, waiting + queued.job.waiting.len());
+            .filter(|other| other.rank == queued.rank);
+        let waiting_tasks = same_rank.map(|other| other.job.waiting.len()).sum::<u32>();
+        self.reserve_fair_share(queued, waiting_tasks + queued.job.waiting.len());
     }
 
-    /// Reserves machines for a team beside another one whose smaller tasks hold
-    /// more: half of the difference. Once a cycle for each team, and only if
-    /// nothing may be stopped for the job; otherwise preemption makes the space.
-    /// `waiting`: tasks of the team that wait, an upper limit.
-    fn reserve_fair_share(&mut self, queued: &QueuedJob<'a>, waiting: u32) {
+    /// Reserves machines for a team whose large tasks cannot start because another
+    /// team's smaller tasks hold more than their fair share. It reserves half of the
+    /// difference between the shares, once per cycle and team. Nothing is reserved if
+    /// tasks may be preempted for the job, since preemption then frees the resources.
+    /// `waiting_tasks` is an upper bound of the team's waiting
+    /// tasks.
+    fn reserve_fair_share(&mut self, queued: &QueuedJob<'a>, waiting_tasks: u32) {
         let spec: &'a JobSpec = &queued.job.spec;
-        let alone = self.running_teams.iter().all(|team| *team == spec.team);
-        let reserved = self.teams_with_reservation.contains(&spec.team.as_str());
-        if alone || queued.job.health.is_broken() || reserved {
+        let is_only_running_team = self.running_teams.iter().all(|team| *team == spec.team);
+        let was_considered = self
+            .teams_considered_for_reservation
+            .contains(&spec.team.as_str());
+        if is_only_running_team || queued.job.health.is_broken() || was_considered {
             return;
         }
-        self.teams_with_reservation.push(&spec.team);
+        self.teams_considered_for_reservation.push(&spec.team);
         let claim = self.claim(spec, &self.usage);
-        if self.may_preempt(spec, &claim) {
+        if self.may_preempt_any(spec, &claim) {
             return;
         }
-        let load = |team: &str| {
+        let weighted_share = |team: &str| {
             let usage = usage_in_all_shards(self.state, team, &self.usage);
-            self.load(team, usage)
+            self.weighted_share(team, usage)
         };
-        let own = load(&spec.team);
-        let loads = self.running_teams.iter().map(|team| load(team));
-        let lead = loads.fold(0.0, f64::max) - own;
-        let task = self.load(&spec.team, ResourceVector::of_task(spec).slots());
-        if lead > 0.0 && task > 0.0 {
-            // Each task that one team gains the other loses.
-            let due = (lead / task / 2.0).floor() as usize;
-            self.reserve_machines(queued, due.min(waiting as usize));
+        let own_share = weighted_share(&spec.team);
+        let shares = self.running_teams.iter().map(|team| weighted_share(team));
+        let share_gap = shares.fold(0.0, f64::max) - own_share;
+        let share_per_task = self.weighted_share(&spec.team, ResourceVector::of_task(spec).slots());
+        if share_gap > 0.0 && share_per_task > 0.0 {
+            // Each task that one team gains is a task that the other team loses.
+            let machine_count = (share_gap / share_per_task / 2.0).floor() as usize;
+            self.reserve_machines(queued, machine_count.min(waiting_tasks as usize));
         }
     }
 
-    /// Reserves what is free on the fullest machines that a task of a job could
-    /// use, `count` at most. Returns how many were reserved.
+    /// Reserves the free resources of the fullest machines, `count` at most, that could
+    /// run a task of the job. Returns the number of reserved machines.
     fn reserve_machines(&mut self, queued: &QueuedJob<'a>, count: usize) -> usize {
-        let Some(index) = queued.job.waiting.iter().next() else {
+        let Some(task_index) = queued.job.waiting.iter().next() else {
             return 0;
         };
-        let chosen = self.fullest_usable(queued, index, count);
-        for &at in &chosen {
-            let candidate = &mut self.candidates[at];
-            candidate.reserved = Some((queued.id, std::mem::take(&mut candidate.free)));
+        let chosen = self.fullest_usable_candidates(queued, task_index, count);
+        for &candidate_index in &chosen {
+            let candidate = &mut self.candidates[candidate_index];
+            candidate.reserved = Some((queued.job_id, std::mem::take(&mut candidate.free)));
         }
-        self.open.retain(|at| !chosen.contains(at));
+        self.open_candidates
+            .retain(|candidate_index| !chosen.contains(candidate_index));
         chosen.len()
     }
 
-    /// The fullest candidates, `count` at most, on which a task would fit once all
-    /// tasks that end by themselves have ended.
-    fn fullest_usable(&self, queued: &QueuedJob<'a>, index: u32, count: usize) -> Vec<usize> {
+    /// Returns the fullest candidates, `count` at most, on which a task would fit once
+    /// all tasks that end by themselves have ended.
+    fn fullest_usable_candidates(
+        &self,
+        queued: &QueuedJob<'a>,
+        task_index: u32,
+        count: usize,
+    ) -> Vec<usize> {
         let job = queued.job;
         let need = ResourceVector::of_task(&job.spec);
-        let zones = self.state.by_zone(job);
+        let tasks_by_zone = self.state.by_zone(job);
         let mut usable: Vec<(f64, &MachineId, usize)> = self
             .candidates
             .iter()
             .enumerate()
-            .filter(|(_, c)| {
-                c.reserved.is_none()
-                    && self.is_eligible(c, job)
-                    && zone_allows(job, &zones, index, c.zone)
-                    && capacity_without_services(c).fits(&need)
+            .filter(|(_, candidate)| {
+                candidate.reserved.is_none()
+                    && self.is_eligible(candidate, job)
+                    && zone_allows(job, &tasks_by_zone, task_index, candidate.zone)
+                    && capacity_without_services(candidate).fits(&need)
+            })
+            .map(|(candidate_index, candidate)| {
+                (
+                    candidate.free.used_of(&candidate.capacity),
+                    candidate.id,
+                    candidate_index,
+                )
             })
-            .map(|(at, c)| (c.free.used_of(&c.capacity), c.id, at))
             .collect();
         usable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
         usable.truncate(count);
-        usable.into_iter().map(|(.., at)| at).collect()
+        usable
+            .into_iter()
+            .map(|(.., candidate_index)| candidate_index)
+            .collect()
     }
 }
 
-/// A machine's capacity less what service tasks hold: those do not end.
+/// Returns a machine's capacity without the resources of service tasks, which do not
+/// end by themselves.
 fn capacity_without_services(candidate: &CandidateMachine<'_>) -> ResourceVector {
     let mut capacity = candidate.capacity;
-    for slot in candidate.slots.iter().filter(|s| s.holds_room()) {
+    for slot in candidate.slots.iter().filter(|slot| slot.holds_room()) {
         if let Some(spec) = &slot.spec
             && spec.shape == Shape::Service
         {
