--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -103,9 +103,9 @@
             now,
             records: &records,
             shards: &shards,
-            list: fresh.then_some(&self.list[..]),
+            rentals: fresh.then_some(&self.list[..]),
             // Users wait to submit: what lies idle is about to be needed.
-            hold: context.refusing(now) || a_peer_refuses(&controller, now),
+            suspend_scale_in: context.refusing(now) || a_peer_refuses(&controller, now),
         };
         drop(controller);
         log::debug!("{}", fleet::summary(&config, &snapshot));
--- a/crates/pulleywood-controller/src/coordinator/mod.rs
+++ b/crates/pulleywood-controller/src/coordinator/mod.rs
@@ -84,6 +84,6 @@
         rentals::carry_out(context, fleet, action);
     }
     for machine in requests::ask_leaders(context, for_leaders, now + ROUND) {
-        fleet.history.not_moved(&machine);
+        fleet.history.cancel_move(&machine);
     }
 }
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -8,7 +8,7 @@
 use pulleywood_protocol::record::COORDINATOR_LEASE;
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{MachineId, MonotonicTime, Revision};
-use pulleywood_scheduler::fleet::{Action, Kind};
+use pulleywood_scheduler::fleet::{Action, MachineKind};
 use pulleywood_transport::RequestPriority;
 use pulleywood_transport::cloud::CloudError;
 use pulleywood_transport::store::Outcome;
@@ -68,10 +68,10 @@
     }
 }
 
-fn rent(context: &ControllerContext, fleet: &mut Fleet, kind: &Kind, count: u32) {
+fn rent(context: &ControllerContext, fleet: &mut Fleet, kind: &MachineKind, count: u32) {
     let now = context.clock.now();
     let mut left = count;
-    while left > 0 && fleet.history.open(kind, now) {
+    while left > 0 && fleet.history.is_rentable(kind, now) {
         let how_many = left.min(MAX_RENTAL);
         left -= how_many;
         let request = RentalRequest {
@@ -93,7 +93,7 @@
     request: RentalRequest,
     now: MonotonicTime,
 ) -> RentalOutcome {
-    let kind = Kind {
+    let kind = MachineKind {
         flavor: request.flavor.clone(),
         zone: request.zone.clone(),
         spot: request.spot,
@@ -105,7 +105,7 @@
         }
         Err(CloudError::NoCapacity) => {
             log::info!("found no capacity for {kind:?}");
-            fleet.history.refused(&kind, now);
+            fleet.history.record_refusal(&kind, now);
         }
         Err(CloudError::Unknown(e)) => {
             log::debug!("got no answer to rental request {}: {e}", request.name);
@@ -119,7 +119,7 @@
 fn note_rented(
     fleet: &mut Fleet,
     request: &RentalRequest,
-    kind: &Kind,
+    kind: &MachineKind,
     machines: &[MachineId],
     now: MonotonicTime,
 ) {
@@ -132,11 +132,11 @@
         request.spot
     );
     if (machines.len() as u32) < request.how_many {
-        fleet.history.refused(kind, now);
+        fleet.history.record_refusal(kind, now);
     } else {
-        fleet.history.filled(kind);
+        fleet.history.record_filled_rental(kind);
     }
-    fleet.history.rented(machines, kind, now);
+    fleet.history.record_rented_machines(machines, kind, now);
 }
 
 /// Releases machines. Only the cloud's answer proves them gone; only then are their
--- a/crates/pulleywood-scheduler/src/fleet/demand.rs
+++ b/crates/pulleywood-scheduler/src/fleet/demand.rs
@@ -1,34 +1,34 @@
-//! Demand: the tasks that wait, and those that services are expected to bring.
+//! Demand: the tasks that wait for machines, and those expected of future service jobs.
 
 use super::bins::Bin;
-use super::{FleetSnapshot, Kind};
+use super::{FleetSnapshot, MachineKind};
 use crate::config::Config;
 use crate::machine_types::MachineTypes;
 use crate::resources::ResourceVector;
 use pulleywood_protocol::cloud::Flavor;
 use pulleywood_protocol::peer::Demand;
 
-/// Smallest share of a machine that a task is taken to need: it is a divisor.
-const MIN_SHARE: f64 = 1e-6;
+/// Lower bound of the share of a machine that a task needs, which is a divisor.
+const MIN_TASK_SHARE: f64 = 1e-6;
 
-/// A demand while machines are found for it.
+/// A demand in the course of finding machines for it.
 pub(super) struct PendingTasks<'a> {
     pub(super) demand: &'a Demand,
-    /// What one task needs.
+    /// Resources that one task needs.
     pub(super) need: ResourceVector,
-    /// Machine types that it leaves to others.
-    pub(super) avoid: MachineTypes,
+    /// Machine types that this demand leaves to demand that can use no others.
+    pub(super) avoided_types: MachineTypes,
 }
 
 impl PendingTasks<'_> {
-    /// Whether a machine's type is not left to others.
+    /// Returns whether these tasks do not have to avoid a machine's type.
     pub(super) fn may_use(&self, bin: &Bin) -> bool {
-        !self.avoid.contains(&bin.kind.flavor)
+        !self.avoided_types.contains(&bin.kind.flavor)
     }
 }
 
-/// Whether a demand's tasks may run on machines of a kind.
-pub(super) fn allows(demand: &Demand, kind: &Kind) -> bool {
+/// Returns whether a demand's tasks may run on machines of a kind.
+pub(super) fn allows(demand: &Demand, kind: &MachineKind) -> bool {
     (demand.spot || !kind.spot)
         && (demand.zones.is_empty() || demand.zones.contains(&kind.zone))
         && demand
@@ -37,36 +37,44 @@
             .is_none_or(|types| types.contains(&kind.flavor))
 }
 
-/// Seconds of work that wait for spot machines and may run on a machine type,
-/// counted in slots of one demand's size.
-pub(super) fn waiting_spot_work_s(waiting: &[&Demand], demand: &Demand, flavor: &Flavor) -> f64 {
+/// Returns how much of the waiting work may use spot machines and machines of one type,
+/// in slot-seconds. A slot has the size of one task of `demand`.
+pub(super) fn waiting_spot_work_s(
+    waiting_demand: &[&Demand],
+    demand: &Demand,
+    flavor: &Flavor,
+) -> f64 {
     let capacity = ResourceVector::of_flavor(flavor);
-    let share = |d: &Demand| ResourceVector::of_demand(d).share_of(&capacity);
-    let slot = share(demand).max(MIN_SHARE);
-    let may_run = |d: &&&Demand| {
-        let allowed = d.types.as_ref().is_none_or(|t| t.contains(&flavor.label));
-        d.spot && allowed && capacity.fits(&ResourceVector::of_demand(d))
+    let share = |task: &Demand| ResourceVector::of_demand(task).share_of(&capacity);
+    let slot_share = share(demand).max(MIN_TASK_SHARE);
+    let may_run = |waiting: &&&Demand| {
+        let allowed = waiting
+            .types
+            .as_ref()
+            .is_none_or(|types| types.contains(&flavor.label));
+        waiting.spot && allowed && capacity.fits(&ResourceVector::of_demand(waiting))
     };
-    waiting
+    waiting_demand
         .iter()
         .filter(may_run)
-        .map(|d| f64::from(d.count) * d.work_s * share(d) / slot)
+        .map(|waiting| f64::from(waiting.count) * waiting.work_s * share(waiting) / slot_share)
         .sum()
 }
 
-/// The demand of the next service jobs: by shape, the largest seen in any shard times
-/// the policy's `reserve_jobs`.
+/// Returns the expected demand of the next service jobs: for each shape, the largest
+/// that any shard reports, times the policy's `reserve_jobs`.
 pub(super) fn service_reserves(config: &Config, snapshot: &FleetSnapshot<'_>) -> Vec<Demand> {
     let mut reserves: Vec<Demand> = Vec::new();
-    for item in snapshot.shards.values().flat_map(|p| &p.reserve) {
-        let same_shape = reserves.iter_mut().find(|d| {
-            (d.cpus, d.gpus, d.memory_gb) == (item.cpus, item.gpus, item.memory_gb)
-                && (&d.types, &d.zones) == (&item.types, &item.zones)
-                && (d.spot, d.rank) == (item.spot, item.rank)
+    for reported in snapshot.shards.values().flat_map(|digest| &digest.reserve) {
+        let same_shape = reserves.iter_mut().find(|reserve| {
+            (reserve.cpus, reserve.gpus, reserve.memory_gb)
+                == (reported.cpus, reported.gpus, reported.memory_gb)
+                && (&reserve.types, &reserve.zones) == (&reported.types, &reported.zones)
+                && (reserve.spot, reserve.rank) == (reported.spot, reported.rank)
         });
         match same_shape {
-            Some(d) => d.count = d.count.max(item.count),
-            None => reserves.push(item.clone()),
+            Some(reserve) => reserve.count = reserve.count.max(reported.count),
+            None => reserves.push(reported.clone()),
         }
     }
     for reserve in &mut reserves {
--- a/crates/pulleywood-scheduler/src/fleet/history.rs
+++ b/crates/pulleywood-scheduler/src/fleet/history.rs
@@ -1,7 +1,7 @@
-//! What the coordinator remembers of the fleet between its rounds. All of it can be
-//! lost: a new coordinator learns it again.
+//! State that the coordinator keeps about the fleet between its rounds. None of it is
+//! persisted: a new coordinator rebuilds it from its own observations.
 
-use super::{FleetSnapshot, Kind, LATE_BOOT};
+use super::{FleetSnapshot, MAX_BOOT_TIME_FACTOR, MachineKind};
 use crate::config::Config;
 use crate::machine_types::MachineTypeDemand;
 use pulleywood_protocol::cloud::RentalStatus;
@@ -10,18 +10,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A machine that was moved is not moved again for this long: its new shard needs
+/// A machine is not moved again for this long after a move, because its new shard needs
 /// some heartbeats to use it.
-const MOVED_FOR: Duration = Duration::from_secs(10);
-/// Back-off, in seconds, after the first refusal of a rental; it doubles with each.
-const REFUSED_BACKOFF_S: u64 = 5;
-/// The back-off doubles this many times at most.
+const MOVE_COOLDOWN: Duration = Duration::from_secs(10);
+/// Back-off after the first refusal of a rental. It doubles with each further refusal.
+const INITIAL_BACKOFF_S: u64 = 5;
+/// Maximum number of times that the back-off doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Refusals of one kind of machine.
+/// Refused rentals of one kind of machine.
 #[derive(Debug)]
 struct Refusals {
-    /// Refusals in a row.
+    /// Number of consecutive refusals.
     count: u32,
     retry_at: MonotonicTime,
 }
@@ -29,68 +29,75 @@
 /// A machine that was rented and has no record yet.
 #[derive(Debug)]
 pub(super) struct BootingMachine {
-    pub(super) kind: Kind,
-    since: MonotonicTime,
+    pub(super) kind: MachineKind,
+    started_at: MonotonicTime,
 }
 
-/// What the coordinator remembers between rounds.
+/// State that the coordinator keeps between rounds.
 #[derive(Debug, Default)]
 pub struct FleetHistory {
-    refused: BTreeMap<Kind, Refusals>,
-    /// When a machine's record was first seen.
+    refusals: BTreeMap<MachineKind, Refusals>,
+    /// Time at which a machine's record was first seen.
     pub(super) first_seen: BTreeMap<MachineId, MonotonicTime>,
-    /// Since when a recorded machine is missing in the cloud's list.
-    pub(super) missed_since: BTreeMap<MachineId, MonotonicTime>,
+    /// Time since which a machine with a record is missing from the cloud's list.
+    pub(super) unlisted_since: BTreeMap<MachineId, MonotonicTime>,
     pub(super) booting: BTreeMap<MachineId, BootingMachine>,
-    /// When machines were moved to another shard lately.
-    pub(super) moved: BTreeMap<MachineId, MonotonicTime>,
-    /// Machines being emptied.
+    /// Time of each recent move of a machine to another shard.
+    pub(super) moved_at: BTreeMap<MachineId, MonotonicTime>,
+    /// Machines that receive no more tasks so that they become idle.
     pub(super) draining: BTreeSet<MachineId>,
-    /// When a machine that was out of touch was last replaced.
-    pub(super) replaced: Option<MonotonicTime>,
-    /// The machine types that work had to choose from lately.
+    /// Time at which unreachable machines were last replaced.
+    pub(super) last_replacement: Option<MonotonicTime>,
+    /// Sets of machine types that recent demand could choose from.
     pub(super) type_demand: MachineTypeDemand,
 }
 
 impl FleetHistory {
-    /// Notes that a machine was not moved after all.
-    pub fn not_moved(&mut self, id: &MachineId) {
-        self.moved.remove(id);
+    /// Removes a machine from the recent moves, because its move was not carried out.
+    /// It may then be moved again at once.
+    pub fn cancel_move(&mut self, id: &MachineId) {
+        self.moved_at.remove(id);
     }
 
-    /// Notes that a rental was refused: the kind is backed off.
-    pub fn refused(&mut self, kind: &Kind, now: MonotonicTime) {
-        let count = self.refused.get(kind).map_or(0, |r| r.count);
-        let backoff = Duration::from_secs(REFUSED_BACKOFF_S << count.min(MAX_BACKOFF_DOUBLINGS));
+    /// Records that a rental was refused, completely or in part. The kind is not rented
+    /// again until its back-off has elapsed.
+    pub fn record_refusal(&mut self, kind: &MachineKind, now: MonotonicTime) {
+        let count = self.refusals.get(kind).map_or(0, |refusals| refusals.count);
+        let backoff = Duration::from_secs(INITIAL_BACKOFF_S << count.min(MAX_BACKOFF_DOUBLINGS));
         let refusals = Refusals {
             count: count + 1,
             retry_at: now + backoff,
         };
-        self.refused.insert(kind.clone(), refusals);
+        self.refusals.insert(kind.clone(), refusals);
     }
 
-    /// Notes that a rental was filled, at least in part.
-    pub fn filled(&mut self, kind: &Kind) {
-        self.refused.remove(kind);
+    /// Records that a rental was filled, which resets the kind's back-off.
+    pub fn record_filled_rental(&mut self, kind: &MachineKind) {
+        self.refusals.remove(kind);
     }
 
-    /// Notes that machines were rented: they count as capacity from now on.
-    pub fn rented(&mut self, machines: &[MachineId], kind: &Kind, now: MonotonicTime) {
+    /// Records rented machines, which count as capacity from now on.
+    pub fn record_rented_machines(
+        &mut self,
+        machines: &[MachineId],
+        kind: &MachineKind,
+        now: MonotonicTime,
+    ) {
         for id in machines {
             let booting = BootingMachine {
                 kind: kind.clone(),
-                since: now,
+                started_at: now,
             };
             self.booting.insert(id.clone(), booting);
         }
     }
 
-    /// Forgets machines that have a record or are late, and adds those that another
-    /// coordinator has rented, from the cloud's list.
+    /// Removes booting machines that have a record or take too long to boot, and adds
+    /// those that another coordinator has rented, from the cloud's list.
     pub(super) fn update_booting(&mut self, config: &Config, snapshot: &FleetSnapshot<'_>) {
-        for rental in snapshot.list.unwrap_or_default() {
+        for rental in snapshot.rentals.unwrap_or_default() {
             if rental.status == RentalStatus::Starting {
-                let kind = Kind {
+                let kind = MachineKind {
                     flavor: rental.flavor.clone(),
                     zone: rental.zone.clone(),
                     spot: rental.spot,
@@ -99,38 +106,40 @@
                     .entry(rental.machine.clone())
                     .or_insert_with(|| BootingMachine {
                         kind,
-                        since: snapshot.now - secs(rental.age_s.0),
+                        started_at: snapshot.now - secs(rental.age_s.0),
                     });
             }
         }
         self.booting.retain(|id, booting| {
             let flavor = config.flavors.get(&booting.kind.flavor);
-            let boot_s = flavor.map_or(0.0, |f| f.boot_s.0);
+            let boot_s = flavor.map_or(0.0, |flavor| flavor.boot_s.0);
             !snapshot.records.contains_key(id)
-                && snapshot.now.since(booting.since) < secs(boot_s * LATE_BOOT)
+                && snapshot.now.since(booting.started_at) < secs(boot_s * MAX_BOOT_TIME_FACTOR)
         });
     }
 
-    /// Notes which machines have records, and forgets old moves.
-    pub(super) fn note_machines(&mut self, snapshot: &FleetSnapshot<'_>) {
+    /// Updates when each machine's record was first seen, and removes old moves.
+    pub(super) fn update_records(&mut self, snapshot: &FleetSnapshot<'_>) {
         let now = snapshot.now;
         self.first_seen
             .retain(|id, _| snapshot.records.contains_key(id));
         for id in snapshot.records.keys() {
             self.first_seen.entry(id.clone()).or_insert(now);
         }
-        self.moved.retain(|_, at| now.since(*at) < MOVED_FOR);
+        self.moved_at.retain(|_, at| now.since(*at) < MOVE_COOLDOWN);
     }
 
-    /// Seconds since a machine's record was first seen.
-    pub(super) fn age(&self, id: &MachineId, now: MonotonicTime) -> f64 {
-        let first = self.first_seen.get(id);
-        first.map_or(0.0, |at| now.since(*at).as_secs_f64())
+    /// Returns the seconds since a machine's record was first seen; 0 if it has not
+    /// been seen.
+    pub(super) fn age_s(&self, id: &MachineId, now: MonotonicTime) -> f64 {
+        let first_seen = self.first_seen.get(id);
+        first_seen.map_or(0.0, |at| now.since(*at).as_secs_f64())
     }
 
-    /// Whether this kind may be rented: it was not refused lately.
-    pub fn open(&self, kind: &Kind, now: MonotonicTime) -> bool {
-        self.refused
+    /// Returns whether machines of this kind may be rented: false during the back-off
+    /// after a refusal.
+    pub fn is_rentable(&self, kind: &MachineKind, now: MonotonicTime) -> bool {
+        self.refusals
             .get(kind)
             .is_none_or(|refusals| now >= refusals.retry_at)
     }
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! The coordinator's fleet decisions: idle machines are moved between shards, waiting
-//! tasks transferred, machines rented and released.
+//! Fleet management: the coordinator's decisions to move idle machines between shards,
+//! to transfer waiting tasks, and to rent and release machines.
 //!
-//! A round packs all waiting demand into the machines that are up or booting
-//! (`bins`, `bin_packing`), moving machines and tasks between shards where that helps
-//! (`rebalance`), rents machines for what is left (`scale_out`), empties and gives
-//! back machines beyond need (`scale_in`) and releases dead ones (`release`).
+//! Each round packs all waiting demand into the machines that are up or booting
+//! (`bins`, `bin_packing`) and moves machines and tasks between shards where that helps
+//! (`rebalance`). It then rents machines for the remaining demand (`scale_out`), drains
+//! and gives back surplus machines (`scale_in`), and releases dead machines
+//! (`release`).
 
 mod bin_packing;
 mod bins;
@@ -32,20 +33,21 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// One kind of machine: what the cloud rents out at one price in one place.
+/// A kind of machine: all machines that the cloud rents out at the same price in the
+/// same zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Kind {
-    /// Machine type.
+pub struct MachineKind {
+    /// Label of the machine type.
     pub flavor: String,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may take back.
+    /// Whether these are spot machines, which the cloud may reclaim.
     pub spot: bool,
 }
 
-impl Kind {
-    fn of(record: &MachineRecord) -> Kind {
-        Kind {
+impl MachineKind {
+    fn of(record: &MachineRecord) -> MachineKind {
+        MachineKind {
             flavor: record.flavor.clone(),
             zone: record.zone.clone(),
             spot: record.spot,
@@ -53,36 +55,38 @@
     }
 }
 
-/// What the coordinator does.
+/// An action that the coordinator carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// An idle machine goes to another shard: machine, from, to.
+    /// Move an idle machine to another shard: machine, source shard, target shard.
     Move(MachineId, ShardId, ShardId),
-    /// Waiting tasks of one shape are transferred: from, to, tasks.
+    /// Transfer waiting tasks of one shape: source shard, target shard, tasks.
     Transfer(ShardId, ShardId, Box<Demand>),
-    /// Machines of a shard get no more tasks, so that they fall idle.
+    /// Place no more tasks on these machines of a shard, so that they become idle.
     Drain(ShardId, Vec<MachineId>),
-    /// A machine is given back once its shard has released it.
+    /// Give back an idle machine of a shard, once the shard has released it.
     ScaleIn(MachineId, ShardId),
-    /// Machines are rented; the shard that hears from one first registers it.
-    ScaleOut(Kind, u32),
-    /// Machines that no shard commands, or that are surely dead, are released, with
-    /// the reason.
+    /// Rent this number of machines. The first shard that receives a machine's
+    /// heartbeat registers it.
+    ScaleOut(MachineKind, u32),
+    /// Release machines that no shard controls any more or that are considered dead,
+    /// with the reason for the log.
     ReleaseDead(Vec<MachineId>, &'static str),
 }
 
-/// A machine that takes longer than this many times its usual boot time may never
-/// come up: it no longer counts as capacity.
-const LATE_BOOT: f64 = 1.7;
+/// A machine that takes longer than this many times the usual boot time of its type may
+/// never come up and no longer counts as capacity.
+const MAX_BOOT_TIME_FACTOR: f64 = 1.7;
 
-/// One round of decisions, in the order in which they are to be carried out.
+/// Runs one round of decisions and returns the actions in the order in which they must
+/// be carried out.
 pub fn decide(
     config: &Config,
     history: &mut FleetHistory,
     snapshot: &FleetSnapshot<'_>,
 ) -> Vec<Action> {
-    let released = release::release_dead(config, history, snapshot);
-    history.note_machines(snapshot);
+    let release_actions = release::release_dead(config, history, snapshot);
+    history.update_records(snapshot);
     history.update_booting(config, snapshot);
     let digests = snapshot.machine_digests();
     let bins = bins::collect(config, history, snapshot, &digests);
@@ -91,118 +95,129 @@
         history,
         snapshot,
         bins,
-        waiting: Vec::new(),
-        rentals: BTreeMap::new(),
-        scarce_types_lacking: false,
-        actions: released,
+        waiting_demand: Vec::new(),
+        planned_rentals: BTreeMap::new(),
+        lacks_scarce_types: false,
+        actions: release_actions,
     };
     round.place_demand();
     round.replace_displaced();
     round.reserve_for_services();
-    round.rent();
-    round.shrink(&digests);
+    round.push_rental_actions();
+    round.scale_in(&digests);
     round.actions
 }
 
-/// A round of decisions while it is made.
+/// The state of one round of decisions.
 struct FleetRound<'a> {
     config: &'a Config,
     history: &'a mut FleetHistory,
     snapshot: &'a FleetSnapshot<'a>,
     bins: Vec<Bin>,
-    /// All waiting demand.
-    waiting: Vec<&'a Demand>,
-    /// Machines to rent, by kind.
-    rentals: BTreeMap<Kind, u32>,
-    /// Some work found no free machine of the few types that it can use.
-    scarce_types_lacking: bool,
+    /// All waiting demand of the shards.
+    waiting_demand: Vec<&'a Demand>,
+    /// Number of machines to rent, by kind.
+    planned_rentals: BTreeMap<MachineKind, u32>,
+    /// Whether some demand that can use only a few machine types found no free machine.
+    lacks_scarce_types: bool,
     actions: Vec<Action>,
 }
 
 impl<'a> FleetRound<'a> {
-    /// Finds machines for all that waits, the cheapest measure first. Booting
-    /// machines come after all that are up, since some never arrive.
+    /// Finds machines for all waiting demand, trying the cheapest measure first.
+    /// Booting machines are tried after all machines that are up, because some of them
+    /// never come up.
     fn place_demand(&mut self) {
-        for (shard, demand) in self.demand_in_order() {
-            let tasks = self.pending(demand);
-            let mut left = demand.count;
-            left = self.use_own_machines(shard, &tasks, left);
-            left = self.move_idle_machines(shard, &tasks, left);
-            left = self.transfer_tasks(shard, &tasks, left, |bin, _| bin.free);
-            left = self.preempt(shard, &tasks, left);
-            left = self.transfer_tasks(shard, &tasks, left, Bin::preemptable_resources);
-            left = self.await_booting_machines(shard, &tasks, left);
-            self.scarce_types_lacking |= left > 0 && tasks.avoid.is_empty();
-            self.rent_for_demand(&tasks, left);
+        for (shard, demand) in self.sorted_demand() {
+            let tasks = self.pending_tasks(demand);
+            let mut remaining = demand.count;
+            remaining = self.use_own_machines(shard, &tasks, remaining);
+            remaining = self.move_idle_machines(shard, &tasks, remaining);
+            remaining = self.transfer_tasks(shard, &tasks, remaining, |bin, _| bin.free);
+            remaining = self.preempt(shard, &tasks, remaining);
+            remaining = self.transfer_tasks(shard, &tasks, remaining, Bin::free_with_preemption);
+            remaining = self.await_booting_machines(shard, &tasks, remaining);
+            self.lacks_scarce_types |= remaining > 0 && tasks.avoided_types.is_empty();
+            self.rent_for_demand(&tasks, remaining);
         }
     }
 
-    /// All demand, that with few machine types to choose from first, so that other
-    /// work leaves those types to it; then by rank.
-    fn demand_in_order(&mut self) -> Vec<(ShardId, &'a Demand)> {
+    /// Returns all demand, with the demand that can use few machine types first, so
+    /// that other demand leaves those types to it, and then by rank.
+    fn sorted_demand(&mut self) -> Vec<(ShardId, &'a Demand)> {
         let now = self.snapshot.now;
         let shards = self.snapshot.shards;
         let mut demands: Vec<(ShardId, &'a Demand)> = shards
             .values()
-            .flat_map(|p| p.demand.iter().map(move |d| (p.shard, d)))
+            .flat_map(|digest| {
+                digest
+                    .demand
+                    .iter()
+                    .map(move |demand| (digest.shard, demand))
+            })
             .collect();
         for (_, demand) in &demands {
             let types = machine_types::of_demand(self.config, demand);
             self.history.type_demand.note(types, now);
         }
         self.history.type_demand.forget(now);
-        demands.sort_by_cached_key(|(_, d)| {
-            let flexible = !self.types_left_to_others(d).is_empty();
-            (flexible, Reverse(d.rank))
+        demands.sort_by_cached_key(|(_, demand)| {
+            let flexible = !self.avoided_types(demand).is_empty();
+            (flexible, Reverse(demand.rank))
         });
-        self.waiting = demands.iter().map(|(_, d)| *d).collect();
+        self.waiting_demand = demands.iter().map(|(_, demand)| *demand).collect();
         demands
     }
 
-    fn pending<'d>(&self, demand: &'d Demand) -> PendingTasks<'d> {
+    fn pending_tasks<'d>(&self, demand: &'d Demand) -> PendingTasks<'d> {
         PendingTasks {
             demand,
             need: ResourceVector::of_demand(demand),
-            avoid: self.types_left_to_others(demand),
+            avoided_types: self.avoided_types(demand),
         }
     }
 
-    /// Machine types that a demand leaves to work which can use no others.
-    fn types_left_to_others(&self, demand: &Demand) -> MachineTypes {
+    /// Returns the machine types that a demand leaves to demand that can use no others.
+    fn avoided_types(&self, demand: &Demand) -> MachineTypes {
         let types = machine_types::of_demand(self.config, demand);
         self.history.type_demand.left_to_others(&types)
     }
 
-    /// Free resources of the shard itself, on machines that are up. Like the other
-    /// steps, it takes the number of tasks that have no machine yet and returns how
-    /// many are left.
-    fn use_own_machines(&mut self, shard: ShardId, tasks: &PendingTasks<'_>, left: u32) -> u32 {
-        bin_packing::fill(&mut self.bins, tasks, left, |b| {
-            b.shard == Some(shard) && b.up && tasks.may_use(b)
+    /// Packs tasks into free resources of the shard's own machines that are up. Like
+    /// the other steps, it takes the number of tasks that have no machine yet and
+    /// returns the number that still have none.
+    fn use_own_machines(
+        &mut self,
+        shard: ShardId,
+        tasks: &PendingTasks<'_>,
+        remaining: u32,
+    ) -> u32 {
+        bin_packing::pack_free(&mut self.bins, tasks, remaining, |bin| {
+            bin.shard == Some(shard) && bin.is_up && tasks.may_use(bin)
         })
     }
 
-    /// What lower ranks hold in the shard itself.
-    fn preempt(&mut self, shard: ShardId, tasks: &PendingTasks<'_>, left: u32) -> u32 {
-        bin_packing::fill_by_preemption(&mut self.bins, tasks, left, |b| {
-            b.shard == Some(shard) && b.up && tasks.may_use(b)
+    /// Packs tasks into resources that lower ranks hold in the same shard.
+    fn preempt(&mut self, shard: ShardId, tasks: &PendingTasks<'_>, remaining: u32) -> u32 {
+        bin_packing::pack_by_preemption(&mut self.bins, tasks, remaining, |bin| {
+            bin.shard == Some(shard) && bin.is_up && tasks.may_use(bin)
         })
     }
 
-    /// Booting machines, and tasks that can wait for a machine to become free. What
-    /// another shard has just registered is moved, or transferred to, in the next
-    /// round.
+    /// Packs tasks into booting machines and leaves short tasks queued for a machine
+    /// that will become free. A machine that another shard has just registered is
+    /// moved, or receives transferred tasks, in the next round.
     fn await_booting_machines(
         &mut self,
         shard: ShardId,
         tasks: &PendingTasks<'_>,
-        left: u32,
+        remaining: u32,
     ) -> u32 {
-        let left = bin_packing::fill(&mut self.bins, tasks, left, |b| {
-            tasks.may_use(b) && (b.may_serve(shard) || tasks.demand.free && !b.up)
+        let remaining = bin_packing::pack_free(&mut self.bins, tasks, remaining, |bin| {
+            tasks.may_use(bin) && (bin.is_available_to(shard) || tasks.demand.free && !bin.is_up)
         });
-        bin_packing::queue_short_tasks(self.config, &mut self.bins, tasks, left, |b| {
-            tasks.may_use(b)
+        bin_packing::queue_short_tasks(self.config, &mut self.bins, tasks, remaining, |bin| {
+            tasks.may_use(bin)
         })
     }
 }
--- a/crates/pulleywood-scheduler/src/fleet/rebalance.rs
+++ b/crates/pulleywood-scheduler/src/fleet/rebalance.rs
@@ -1,5 +1,5 @@
-//! Rebalancing between shards: idle machines are moved to a shard that lacks
-//! capacity, or its waiting tasks are transferred to a shard that has some.
+//! Rebalancing between shards: moves idle machines to a shard that lacks capacity, or
+//! transfers its waiting tasks to a shard that has some.
 
 use super::bins::Bin;
 use super::demand::{PendingTasks, allows};
@@ -16,78 +16,82 @@
         &mut self,
         shard: ShardId,
         tasks: &PendingTasks<'_>,
-        mut left: u32,
+        mut remaining: u32,
     ) -> u32 {
-        while left > 0 {
-            let Some(at) = self.movable_machine(shard, tasks) else {
+        while remaining > 0 {
+            let Some(index) = self.movable_bin(shard, tasks) else {
                 break;
             };
-            let bin = &mut self.bins[at];
+            let bin = &mut self.bins[index];
             if let (Some(machine), Some(from)) = (bin.machine.clone(), bin.shard) {
                 self.history
-                    .moved
+                    .moved_at
                     .insert(machine.clone(), self.snapshot.now);
                 self.actions.push(Action::Move(machine, from, shard));
             }
             bin.shard = Some(shard);
-            left = bin_packing::fill(&mut self.bins, tasks, left, |b| {
-                b.may_serve(shard) && tasks.may_use(b)
+            remaining = bin_packing::pack_free(&mut self.bins, tasks, remaining, |bin| {
+                bin.is_available_to(shard) && tasks.may_use(bin)
             });
         }
-        left
+        remaining
     }
 
-    /// An idle machine of another shard on which a task fits.
-    fn movable_machine(&self, shard: ShardId, tasks: &PendingTasks<'_>) -> Option<usize> {
-        self.bins.iter().position(|b| {
-            b.shard.is_some_and(|p| p != shard)
-                && b.taken == 0
-                && b.idle
-                && tasks.may_use(b)
-                && (!tasks.demand.free || is_in_zone_of(self.config, shard, b))
-                && b.free.fits(&tasks.need)
-                && allows(tasks.demand, &b.kind)
-                && (b.machine.as_ref()).is_some_and(|m| !self.history.moved.contains_key(m))
+    /// Returns the index of the bin of an idle machine of another shard on which a task
+    /// fits.
+    fn movable_bin(&self, shard: ShardId, tasks: &PendingTasks<'_>) -> Option<usize> {
+        self.bins.iter().position(|bin| {
+            bin.shard.is_some_and(|own| own != shard)
+                && bin.packed_tasks == 0
+                && bin.is_idle
+                && tasks.may_use(bin)
+                && (!tasks.demand.free || is_in_zone_of(self.config, shard, bin))
+                && bin.free.fits(&tasks.need)
+                && allows(tasks.demand, &bin.kind)
+                && (bin.machine.as_ref())
+                    .is_some_and(|machine| !self.history.moved_at.contains_key(machine))
         })
     }
 
-    /// Transfers tasks to other shards. `free_in`: what counts as free on a machine
-    /// there.
+    /// Transfers tasks to other shards. `free_in` returns the resources that count as
+    /// free on a machine there.
     pub(super) fn transfer_tasks(
         &mut self,
         shard: ShardId,
         tasks: &PendingTasks<'_>,
-        mut left: u32,
+        mut remaining: u32,
         free_in: fn(&Bin, Rank) -> ResourceVector,
     ) -> u32 {
-        if !tasks.demand.free || left == 0 {
-            return left;
+        if !tasks.demand.free || remaining == 0 {
+            return remaining;
         }
-        for other in self.snapshot.shards.keys().filter(|p| **p != shard) {
-            let before = left;
-            left = bin_packing::pack(
+        for other in self.snapshot.shards.keys().filter(|other| **other != shard) {
+            let before_transfer = remaining;
+            remaining = bin_packing::pack(
                 &mut self.bins,
                 tasks,
-                left,
-                |b| b.shard == Some(*other) && b.up && tasks.may_use(b),
-                |b| free_in(b, tasks.demand.rank),
+                remaining,
+                |bin| bin.shard == Some(*other) && bin.is_up && tasks.may_use(bin),
+                |bin| free_in(bin, tasks.demand.rank),
             );
-            if left < before {
+            if remaining < before_transfer {
                 let transferred = Demand {
-                    count: before - left,
+                    count: before_transfer - remaining,
                     ..tasks.demand.clone()
                 };
                 let transfer = Action::Transfer(shard, *other, Box::new(transferred));
                 self.actions.push(transfer);
             }
         }
-        left
+        remaining
     }
 }
 
-/// Whether a machine is in the zone of a shard's machines. Machines of other zones
-/// stay where they are, and tasks that can be transferred go to them: a partition
-/// around a zone then leaves its machines with the leader in it.
+/// Returns whether a machine is in the zone of a shard's machines. Transferable tasks
+/// go to machines in other zones instead of moving those machines. If a partition then
+/// isolates a zone, its machines are in the same zone as their shard's leader.
 fn is_in_zone_of(config: &Config, shard: ShardId, bin: &Bin) -> bool {
-    config.zone_of(shard).is_none_or(|z| z == bin.kind.zone)
+    config
+        .zone_of(shard)
+        .is_none_or(|zone| zone == bin.kind.zone)
 }
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -1,8 +1,8 @@
-//! Release of machines without their shard's consent: dead, lost, or handed back by
-//! the shard already.
+//! Release of machines without a request by their shards' leaders, because they are
+//! dead, unreachable, or already released by their shard.
 //!
-//! One list of the cloud's alone, which may be stale, never decides over a machine
-//! that may still work.
+//! The cloud's list may be stale. A machine that may still work is never released
+//! because of a single list.
 
 use super::{Action, FleetHistory, FleetSnapshot};
 use crate::config::Config;
@@ -11,57 +11,70 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A machine that was out of touch for this many leases, and for the minimum, is
-/// replaced.
-const OUT_OF_TOUCH_LEASES: u32 = 4;
-const MIN_OUT_OF_TOUCH: Duration = Duration::from_secs(60);
-/// One machine in so many may be replaced each lease. If more are out of touch it is
-/// a partition, which heals; their capacity would be gone with them.
-const REPLACED_ONE_IN: usize = 100;
+/// A machine is replaced when it has been unreachable for this many leases and for
+/// `MIN_UNREACHABLE`.
+const UNREACHABLE_LEASES: u32 = 4;
+/// Lower bound of the time after which an unreachable machine is replaced.
+const MIN_UNREACHABLE: Duration = Duration::from_secs(60);
+/// At most one machine per this many, plus one, is replaced per lease. If more are
+/// unreachable, the cause is probably a partition, which heals; replacing them would
+/// give up their capacity.
+const MACHINES_PER_REPLACEMENT: usize = 100;
 
-/// A worker sends a heartbeat within this many intervals: they vary by a quarter.
+/// Maximum time between two heartbeats of a worker, in heartbeat intervals. The time
+/// varies by up to a quarter.
 const MAX_HEARTBEAT_INTERVALS: f64 = 1.25;
-/// A worker waits this many seconds for a response before it tries another
-/// controller.
+/// Time that a worker waits for a response before it tries another controller.
 const RESPONSE_TIMEOUT_S: f64 = 4.0;
-/// At most one machine in so many may be unreachable for any of them to be given up
-/// early. If more are, it is a partition, which heals.
-const UNREACHABLE_ONE_IN: usize = 8;
-/// A machine is given up early if that saves more than this part of the boot of its
-/// replacement.
-const WORTHWHILE_BOOT: f64 = 1.0 / 2.0;
+/// Machines are released early only if the fleet has at least this many machines per
+/// unreachable one. Otherwise the cause is probably a partition, which heals.
+const MIN_MACHINES_PER_UNREACHABLE: usize = 8;
+/// A machine is released early only if that saves more than this fraction of the boot
+/// time of its replacement.
+const MIN_SAVED_BOOT_FRACTION: f64 = 1.0 / 2.0;
 
-/// Boot time, in seconds, of a machine type that is not known.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// A machine that is still starting after this many boot times, and the margin,
-/// never comes up.
-const NEVER_UP_BOOTS: f64 = 4.0;
-const NEVER_UP_MARGIN_S: f64 = 30.0;
+/// Assumed boot time of an unknown machine type.
+const DEFAULT_BOOT_S: f64 = 60.0;
+/// A machine that is still starting after this many boot times, plus the margin, is
+/// considered to have failed to boot.
+const FAILED_BOOT_FACTOR: f64 = 4.0;
+/// Margin on the boot time after which a boot is considered failed.
+const FAILED_BOOT_MARGIN_S: f64 = 30.0;
 
-/// A machine must have had its record for this long before it counts as gone: the
+/// A machine only counts as gone if its record has existed for this long, because the
 /// list may be older than the record.
-const MIN_KNOWN: Duration = Duration::from_secs(30);
-/// And must have been missing in the lists for this long.
-const MIN_MISSED: Duration = Duration::from_secs(20);
+const MIN_RECORD_AGE: Duration = Duration::from_secs(30);
+/// A machine only counts as gone if it has been missing from the cloud's lists for this
+/// long.
+const MIN_UNLISTED: Duration = Duration::from_secs(20);
 
-/// Machines to release, by reason.
+/// Returns the machines to release, by reason.
 pub(super) fn release_dead(
     config: &Config,
     history: &mut FleetHistory,
     snapshot: &FleetSnapshot<'_>,
 ) -> Vec<Action> {
     let mut releases = vec![
-        (retired(snapshot), "retired by its shard"),
-        (out_of_touch(config, history, snapshot), "out of touch"),
-        (unreported(config, snapshot), "not heard by its new leader"),
+        (released_by_shard(snapshot), "released by its shard"),
+        (
+            unreachable_for_long(config, history, snapshot),
+            "unreachable",
+        ),
+        (
+            unreported(config, snapshot),
+            "not reported since the failover",
+        ),
     ];
-    if let Some(list) = snapshot.list {
+    if let Some(rentals) = snapshot.rentals {
         let overdue = overdue(config, snapshot);
-        let gone = no_longer_listed(history, snapshot, list, &overdue);
+        let gone = no_longer_listed(history, snapshot, rentals, &overdue);
         releases.extend([
-            (failed(list), "failed"),
-            (never_up(config, snapshot, list, &overdue), "never came up"),
-            (gone, "no longer listed"),
+            (listed_as_failed(rentals), "listed as failed"),
+            (
+                failed_to_boot(config, snapshot, rentals, &overdue),
+                "did not finish booting",
+            ),
+            (gone, "missing from the cloud's list"),
         ]);
     }
     releases
@@ -71,8 +84,8 @@
         .collect()
 }
 
-/// Machines that their shards have released.
-fn retired(snapshot: &FleetSnapshot<'_>) -> Vec<MachineId> {
+/// Returns the machines that their shards have released.
+fn released_by_shard(snapshot: &FleetSnapshot<'_>) -> Vec<MachineId> {
     snapshot
         .records
         .iter()
@@ -81,103 +94,117 @@
         .collect()
 }
 
-/// Machines whose workers have long not been in touch both ways: heartbeats overdue,
-/// or inbound partitioned. A few each lease, the longest first.
-fn out_of_touch(
+/// Returns machines that have had no two-way contact with their shard's leader for
+/// long: their heartbeats are overdue, or they are inbound partitioned. Only a few are
+/// returned per lease, those without contact for longest first.
+fn unreachable_for_long(
     config: &Config,
     history: &mut FleetHistory,
     snapshot: &FleetSnapshot<'_>,
 ) -> Vec<MachineId> {
     let now = snapshot.now;
     if history
-        .replaced
+        .last_replacement
         .is_some_and(|at| now.since(at) < config.lease)
     {
         return Vec::new();
     }
-    let long_s = (config.lease * OUT_OF_TOUCH_LEASES)
-        .max(MIN_OUT_OF_TOUCH)
+    let min_unreachable_s = (config.lease * UNREACHABLE_LEASES)
+        .max(MIN_UNREACHABLE)
         .as_secs_f64();
-    let mut lost: Vec<(f64, &MachineId)> = snapshot
+    let mut unreachable: Vec<(f64, &MachineId)> = snapshot
         .shards
         .values()
-        .filter(|p| !p.rebuilding)
-        .flat_map(|p| &p.machines)
-        .filter(|m| m.lost_s > long_s && snapshot.records.contains_key(&m.machine))
-        .map(|m| (m.lost_s, &m.machine))
+        .filter(|digest| !digest.rebuilding)
+        .flat_map(|digest| &digest.machines)
+        .filter(|machine| {
+            machine.lost_s > min_unreachable_s && snapshot.records.contains_key(&machine.machine)
+        })
+        .map(|machine| (machine.lost_s, &machine.machine))
         .collect();
-    lost.sort_by(|a, b| b.0.total_cmp(&a.0));
-    lost.truncate(snapshot.records.len() / REPLACED_ONE_IN + 1);
-    if !lost.is_empty() {
-        history.replaced = Some(now);
+    unreachable.sort_by(|a, b| b.0.total_cmp(&a.0));
+    unreachable.truncate(snapshot.records.len() / MACHINES_PER_REPLACEMENT + 1);
+    if !unreachable.is_empty() {
+        history.last_replacement = Some(now);
     }
-    lost.into_iter().map(|(_, id)| id.clone()).collect()
+    unreachable.into_iter().map(|(_, id)| id.clone()).collect()
 }
 
-/// Seconds after a failover by which the shard's new leader has heard from each
-/// reachable worker.
-fn unreachable_after_s(config: &Config) -> f64 {
+/// Returns the time, in seconds after a failover, by which the shard's new leader has
+/// received a heartbeat from every reachable worker.
+fn first_report_deadline_s(config: &Config) -> f64 {
     config.heartbeat_interval.as_secs_f64() * MAX_HEARTBEAT_INTERVALS + RESPONSE_TIMEOUT_S
 }
 
-/// Machines that have not reported since their shard's failover, while jobs wait that
-/// they may run. The cloud's confirmation of their end frees those jobs a good part
-/// of a worker's lease earlier. As the machine may not be dead, this is only done
-/// where it saves more than half of the boot of a replacement.
+/// Returns machines that have not reported since their shard's failover, if jobs wait
+/// that may run on them. The cloud's confirmation that a machine has ended frees those
+/// jobs well before the expiry of the worker's lease. As the machine may still be
+/// alive, it is only released if that saves more than half of the boot time of a
+/// replacement.
 fn unreported(config: &Config, snapshot: &FleetSnapshot<'_>) -> Vec<MachineId> {
-    let wait_s = unreachable_after_s(config);
-    let saved_s = config.lease_surely_expired().as_secs_f64() - wait_s;
+    let report_deadline_s = first_report_deadline_s(config);
+    let saved_s = config.lease_surely_expired().as_secs_f64() - report_deadline_s;
     let is_worthwhile = |id: &MachineId| {
         let record = snapshot.records.get(id);
-        let flavor = record.and_then(|r| config.flavors.get(&r.flavor));
-        flavor.is_some_and(|f| saved_s > f.boot_s.0 * WORTHWHILE_BOOT)
+        let flavor = record.and_then(|record| config.flavors.get(&record.flavor));
+        flavor.is_some_and(|flavor| saved_s > flavor.boot_s.0 * MIN_SAVED_BOOT_FRACTION)
     };
     let unreachable = snapshot
         .machines()
-        .filter(|m| m.unreported || m.heartbeat_age_s > wait_s);
-    if unreachable.count() * UNREACHABLE_ONE_IN > snapshot.records.len() {
+        .filter(|machine| machine.unreported || machine.heartbeat_age_s > report_deadline_s);
+    if unreachable.count() * MIN_MACHINES_PER_UNREACHABLE > snapshot.records.len() {
         return Vec::new();
     }
-    let blocked = snapshot.shards.values().filter(|p| !p.demand.is_empty());
-    blocked
-        .flat_map(|p| &p.machines)
-        .filter(|m| m.unreported && m.lost_s > wait_s && is_worthwhile(&m.machine))
-        .map(|m| m.machine.clone())
+    let waiting_shards = snapshot
+        .shards
+        .values()
+        .filter(|digest| !digest.demand.is_empty());
+    waiting_shards
+        .flat_map(|digest| &digest.machines)
+        .filter(|machine| {
+            machine.unreported
+                && machine.lost_s > report_deadline_s
+                && is_worthwhile(&machine.machine)
+        })
+        .map(|machine| machine.machine.clone())
         .collect()
 }
 
-/// Machines whose heartbeats are overdue, or have not come yet.
+/// Returns the machines whose heartbeats are overdue or that have not sent any yet.
 fn overdue<'a>(config: &Config, snapshot: &FleetSnapshot<'a>) -> BTreeSet<&'a MachineId> {
     let lease_s = config.lease.as_secs_f64();
     snapshot
         .machines()
-        .filter(|m| m.heartbeat_age_s < 0.0 || m.heartbeat_age_s > lease_s)
-        .map(|m| &m.machine)
+        .filter(|machine| machine.heartbeat_age_s < 0.0 || machine.heartbeat_age_s > lease_s)
+        .map(|machine| &machine.machine)
         .collect()
 }
 
-/// Machines that the cloud lists as failed.
-fn failed(list: &[Rental]) -> Vec<MachineId> {
-    list.iter()
+/// Returns the machines that the cloud lists as failed.
+fn listed_as_failed(rentals: &[Rental]) -> Vec<MachineId> {
+    rentals
+        .iter()
         .filter(|rental| rental.status == RentalStatus::Failed)
         .map(|rental| rental.machine.clone())
         .collect()
 }
 
-/// Machines that have been starting for very long, and send no heartbeats.
-fn never_up(
+/// Returns machines that have been starting for far longer than a boot takes and send
+/// no heartbeats.
+fn failed_to_boot(
     config: &Config,
     snapshot: &FleetSnapshot<'_>,
-    list: &[Rental],
+    rentals: &[Rental],
     overdue: &BTreeSet<&MachineId>,
 ) -> Vec<MachineId> {
     let is_late = |rental: &&Rental| {
         let flavor = config.flavors.get(&rental.flavor);
-        let boot_s = flavor.map_or(UNKNOWN_BOOT_S, |f| f.boot_s.0);
+        let boot_s = flavor.map_or(DEFAULT_BOOT_S, |flavor| flavor.boot_s.0);
         rental.status == RentalStatus::Starting
-            && rental.age_s.0 > boot_s * NEVER_UP_BOOTS + NEVER_UP_MARGIN_S
+            && rental.age_s.0 > boot_s * FAILED_BOOT_FACTOR + FAILED_BOOT_MARGIN_S
     };
-    list.iter()
+    rentals
+        .iter()
         .filter(is_late)
         .map(|rental| &rental.machine)
         .filter(|id| overdue.contains(id) || !snapshot.records.contains_key(*id))
@@ -185,27 +212,28 @@
         .collect()
 }
 
-/// Recorded machines that have long been missing in the lists, and whose heartbeats
-/// are overdue: the cloud has taken them.
+/// Returns machines with a record that have been missing from the cloud's lists for
+/// long and whose heartbeats are overdue: the cloud has reclaimed them.
 fn no_longer_listed(
     history: &mut FleetHistory,
     snapshot: &FleetSnapshot<'_>,
-    list: &[Rental],
+    rentals: &[Rental],
     overdue: &BTreeSet<&MachineId>,
 ) -> Vec<MachineId> {
     let now = snapshot.now;
-    let listed: BTreeSet<&MachineId> = list.iter().map(|r| &r.machine).collect();
+    let listed: BTreeSet<&MachineId> = rentals.iter().map(|rental| &rental.machine).collect();
     history
-        .missed_since
+        .unlisted_since
         .retain(|id, _| snapshot.records.contains_key(id) && !listed.contains(id));
     let mut gone = Vec::new();
     for id in snapshot.records.keys().filter(|id| !listed.contains(id)) {
-        let since = *history.missed_since.entry(id.clone()).or_insert(now);
-        let known = history
+        let unlisted_since = *history.unlisted_since.entry(id.clone()).or_insert(now);
+        let record_is_old_enough = history
             .first_seen
             .get(id)
-            .is_some_and(|at| now.since(*at) > MIN_KNOWN);
-        if known && overdue.contains(id) && now.since(since) > MIN_MISSED {
+            .is_some_and(|at| now.since(*at) > MIN_RECORD_AGE);
+        if record_is_old_enough && overdue.contains(id) && now.since(unlisted_since) > MIN_UNLISTED
+        {
             gone.push(id.clone());
         }
     }
--- a/crates/pulleywood-scheduler/src/fleet/scale_in.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_in.rs
@@ -1,4 +1,6 @@
-//! Scaling in: machines beyond need are emptied, and given back once they are idle.
+//! Scaling in: drains surplus machines and gives them back once they are idle.
+//!
+//! A task is pinned if it may not run on spot machines.
 
 use super::bins::Bin;
 use super::snapshot::MachineDigests;
@@ -7,30 +9,31 @@
 use pulleywood_protocol::{MachineId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A smaller share of a machine counts as none, since shares are sums of floats.
-const NO_SHARE: f64 = 1e-9;
-/// A machine that is being emptied idles for this part of the policy's `idle_s`.
-const DRAINED_IDLE: f64 = 1.0 / 4.0;
+/// Shares of a machine below this count as zero, because they are sums of
+/// floating-point numbers.
+const SHARE_TOLERANCE: f64 = 1e-9;
+/// A draining machine is given back after this fraction of the policy's `idle_s`.
+const DRAINING_IDLE_FRACTION: f64 = 1.0 / 4.0;
 
 impl FleetRound<'_> {
-    /// Empties machines beyond need, and gives idle ones back.
-    pub(super) fn shrink(&mut self, digests: &MachineDigests<'_>) {
-        if self.snapshot.hold {
+    /// Drains surplus machines and gives idle ones back.
+    pub(super) fn scale_in(&mut self, digests: &MachineDigests<'_>) {
+        if self.snapshot.suspend_scale_in {
             self.history.draining.clear();
             return;
         }
         self.drain();
-        let quarantined = quarantined_machines(digests);
-        self.actions.extend(quarantined);
+        let quarantined_actions = release_quarantined(digests);
+        self.actions.extend(quarantined_actions);
         for spot in [false, true] {
-            let idle = idle_machines(self.config, self.history, &self.bins, digests, spot);
-            self.actions.extend(idle);
+            let idle_actions = release_idle(self.config, self.history, &self.bins, digests, spot);
+            self.actions.extend(idle_actions);
         }
     }
 
-    /// Empties ordinary machines beyond need that hold no work bound to ordinary
-    /// machines. Each type counts by itself: idle machines of one type are no
-    /// capacity for work that fits another alone.
+    /// Drains surplus ordinary machines that hold no pinned tasks. Each machine type is
+    /// considered separately, because idle machines of one type are no capacity for
+    /// tasks that fit only another.
     fn drain(&mut self) {
         let mut by_type: BTreeMap<&str, Vec<&Bin>> = BTreeMap::new();
         for bin in &self.bins {
@@ -39,9 +42,10 @@
         let mut by_shard: BTreeMap<ShardId, Vec<MachineId>> = BTreeMap::new();
         let mut draining = BTreeSet::new();
         for bins in by_type.into_values() {
-            for bin in beyond_need(self.config, self.history, &bins) {
-                let empty = bin.pinned < NO_SHARE && bin.taken == 0;
-                if let (true, Some(machine), Some(shard)) = (empty, &bin.machine, bin.shard) {
+            for bin in surplus_machines(self.config, self.history, &bins) {
+                let is_drainable = bin.pinned_share < SHARE_TOLERANCE && bin.packed_tasks == 0;
+                if let (true, Some(machine), Some(shard)) = (is_drainable, &bin.machine, bin.shard)
+                {
                     draining.insert(machine.clone());
                     by_shard.entry(shard).or_default().push(machine.clone());
                 }
@@ -54,31 +58,34 @@
     }
 }
 
-/// Ordinary machines of one type beyond what the work on that type needs. Those with
-/// the most bound work stay, then those not yet draining, then the fullest.
-fn beyond_need<'b>(config: &Config, history: &FleetHistory, bins: &[&'b Bin]) -> Vec<&'b Bin> {
-    let used = |b: &Bin| b.free.used_of(&b.capacity).clamp(0.0, 1.0);
-    let load: f64 = bins.iter().map(|b| used(b)).sum();
-    let pinned: f64 = bins.iter().map(|b| b.pinned).sum();
-    let spot = bins.iter().filter(|b| b.kind.spot).count() as f64;
-    let headroom = 1.0 + config.policy.cushion;
-    let needed = (pinned * headroom).max(load * headroom - spot).ceil() as usize;
+/// Returns the ordinary machines of one type that exceed the need of the tasks on that
+/// type. Machines with the largest share of pinned tasks are kept first, then those not
+/// yet draining, then the fullest.
+fn surplus_machines<'b>(config: &Config, history: &FleetHistory, bins: &[&'b Bin]) -> Vec<&'b Bin> {
+    let used = |bin: &Bin| bin.free.used_of(&bin.capacity).clamp(0.0, 1.0);
+    let used_machines: f64 = bins.iter().map(|bin| used(bin)).sum();
+    let pinned_machines: f64 = bins.iter().map(|bin| bin.pinned_share).sum();
+    let spot_machines = bins.iter().filter(|bin| bin.kind.spot).count() as f64;
+    let headroom_factor = 1.0 + config.policy.cushion;
+    let needed = (pinned_machines * headroom_factor)
+        .max(used_machines * headroom_factor - spot_machines)
+        .ceil() as usize;
     let mut ordinary: Vec<&Bin> = bins
         .iter()
         .copied()
-        .filter(|b| !b.kind.spot && b.machine.is_some())
+        .filter(|bin| !bin.kind.spot && bin.machine.is_some())
         .collect();
     ordinary.sort_by(|a, b| {
-        b.pinned
-            .total_cmp(&a.pinned)
+        b.pinned_share
+            .total_cmp(&a.pinned_share)
             .then(a.is_draining(history).cmp(&b.is_draining(history)))
             .then(used(b).total_cmp(&used(a)))
     });
     ordinary.into_iter().skip(needed).collect()
 }
 
-/// Quarantined machines that are idle.
-fn quarantined_machines(digests: &MachineDigests<'_>) -> Vec<Action> {
+/// Returns the actions that give back idle quarantined machines.
+fn release_quarantined(digests: &MachineDigests<'_>) -> Vec<Action> {
     digests
         .iter()
         .filter(|(_, (digest, _))| digest.quarantined && digest.idle_s >= 0.0)
@@ -86,40 +93,41 @@
         .collect()
 }
 
-/// Machines of one market, spot or ordinary, that have idled for long, beyond the
-/// policy's headroom. The longest idle go first.
-fn idle_machines(
+/// Returns the actions that give back machines of one market, spot or ordinary, that
+/// have been idle for long. As many as the policy's headroom requires are kept, those
+/// idle for longest first.
+fn release_idle(
     config: &Config,
     history: &FleetHistory,
     bins: &[Bin],
     digests: &MachineDigests<'_>,
     spot: bool,
 ) -> Vec<Action> {
-    // No ordinary machines are kept idle if all work may use spot ones.
-    let needs_headroom = spot || bins.iter().any(|b| b.pinned > 0.0);
+    // No ordinary machines are kept idle if all tasks may run on spot machines.
+    let needs_headroom = spot || bins.iter().any(|bin| bin.pinned_share > 0.0);
     let in_use: f64 = bins
         .iter()
-        .filter(|b| needs_headroom && b.kind.spot == spot)
-        .map(|b| 1.0 - b.free.share_of(&b.capacity))
+        .filter(|bin| needs_headroom && bin.kind.spot == spot)
+        .map(|bin| 1.0 - bin.free.share_of(&bin.capacity))
         .sum();
     let mut idle: Vec<(f64, &MachineId, ShardId)> = bins
         .iter()
-        .filter(|b| b.kind.spot == spot && b.taken == 0)
-        .filter_map(|b| {
-            let id = b.machine.as_ref()?;
+        .filter(|bin| bin.kind.spot == spot && bin.packed_tasks == 0)
+        .filter_map(|bin| {
+            let id = bin.machine.as_ref()?;
             let (digest, shard) = digests.get(id)?;
-            let max_idle_s = if history.draining.contains(id) {
-                config.policy.idle_s * DRAINED_IDLE
+            let min_idle_s = if history.draining.contains(id) {
+                config.policy.idle_s * DRAINING_IDLE_FRACTION
             } else {
                 config.policy.idle_s
             };
-            (digest.idle_s >= max_idle_s).then_some((digest.idle_s, id, *shard))
+            (digest.idle_s >= min_idle_s).then_some((digest.idle_s, id, *shard))
         })
         .collect();
     idle.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let kept = (in_use * config.policy.cushion).floor() as usize;
+    let kept_machines = (in_use * config.policy.cushion).floor() as usize;
     idle.into_iter()
-        .skip(kept)
+        .skip(kept_machines)
         .map(|(_, id, shard)| Action::ScaleIn(id.clone(), shard))
         .collect()
 }
--- a/crates/pulleywood-scheduler/src/fleet/snapshot.rs
+++ b/crates/pulleywood-scheduler/src/fleet/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of the fleet when a round begins.
+//! The coordinator's view of the fleet at the beginning of a round.
 
 use pulleywood_protocol::cloud::Rental;
 use pulleywood_protocol::peer::{MachineDigest, ShardDigest};
@@ -7,35 +7,40 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What the coordinator knows of the fleet.
+/// The coordinator's view of the fleet at one point in time.
 #[derive(Debug)]
 pub struct FleetSnapshot<'a> {
-    /// When it was taken.
+    /// Time of the snapshot, on the coordinator's clock.
     pub now: MonotonicTime,
-    /// The records of all machines.
+    /// Records of all registered machines.
     pub records: &'a BTreeMap<MachineId, MachineRecord>,
-    /// Fresh digests of the shards that have a leader.
+    /// Recent digests of the shards that have a leader.
     pub shards: &'a BTreeMap<ShardId, Arc<ShardDigest>>,
-    /// The newest list of the cloud's rentals, if one came lately.
-    pub list: Option<&'a [Rental]>,
-    /// There is more work than the digests show: no machine is emptied or given
-    /// back.
-    pub hold: bool,
+    /// The cloud's list of rentals; `None` if none was received recently.
+    pub rentals: Option<&'a [Rental]>,
+    /// Whether there is more demand than the digests show. If so, no machine is drained
+    /// or given back.
+    pub suspend_scale_in: bool,
 }
 
-/// The digests of machines, with the shard that sent them.
+/// Digests by machine, each with the shard that sent it.
 pub(super) type MachineDigests<'a> = BTreeMap<&'a MachineId, (&'a MachineDigest, ShardId)>;
 
 impl<'a> FleetSnapshot<'a> {
     pub(super) fn machine_digests(&self) -> MachineDigests<'a> {
         self.shards
             .values()
-            .flat_map(|p| p.machines.iter().map(move |m| (&m.machine, (m, p.shard))))
+            .flat_map(|digest| {
+                digest
+                    .machines
+                    .iter()
+                    .map(move |machine| (&machine.machine, (machine, digest.shard)))
+            })
             .collect()
     }
 
-    /// The digests of all machines, by shard.
+    /// Iterates over the digests of all machines, ordered by shard.
     pub(super) fn machines(&self) -> impl Iterator<Item = &'a MachineDigest> {
-        self.shards.values().flat_map(|p| &p.machines)
+        self.shards.values().flat_map(|digest| &digest.machines)
     }
 }
--- a/crates/pulleywood-scheduler/src/fleet/summary.rs
+++ b/crates/pulleywood-scheduler/src/fleet/summary.rs
@@ -1,62 +1,66 @@
-//! The state of the fleet as a line of text, for logs.
+//! Summary of the fleet's state in one line, for logs.
 
-use super::{FleetSnapshot, Kind};
+use super::{FleetSnapshot, MachineKind};
 use crate::config::Config;
 use crate::resources::ResourceVector;
 use pulleywood_protocol::job::Rank;
 use pulleywood_protocol::peer::MachineDigest;
 use std::collections::BTreeMap;
 
-/// Machines of one kind, and how far they are used. A machine that is not up, idle or
-/// half empty costs as much as one in use.
+/// Number of machines of one kind, and how much of them is used. A machine that does
+/// not report, is idle, or is half empty costs as much as one in use.
 #[derive(Debug, Default, Clone, PartialEq)]
-struct Usage {
+struct KindUsage {
     machines: u32,
-    /// With a record, but no heartbeat to the shard's leader yet.
-    not_up: u32,
+    /// Machines with a record whose shard's leader has not answered a heartbeat yet.
+    not_reporting: u32,
     idle: u32,
-    /// The machines' shares in use, added up.
+    /// Sum of the dominant shares in use of all machines.
     in_use: f64,
 }
 
-impl Usage {
+impl KindUsage {
     fn add(&mut self, capacity: &ResourceVector, digest: Option<&MachineDigest>) {
         self.machines += 1;
-        match digest.filter(|d| d.heartbeat_age_s >= 0.0) {
-            None => self.not_up += 1,
-            Some(d) => {
-                self.idle += u32::from(d.idle_s >= 0.0);
-                self.in_use += ResourceVector::free_on(d).used_of(capacity);
+        match digest.filter(|digest| digest.heartbeat_age_s >= 0.0) {
+            None => self.not_reporting += 1,
+            Some(digest) => {
+                self.idle += u32::from(digest.idle_s >= 0.0);
+                self.in_use += ResourceVector::free_on(digest).used_of(capacity);
             }
         }
     }
 }
 
-/// Recorded machines by kind.
-fn usage(config: &Config, snapshot: &FleetSnapshot<'_>) -> BTreeMap<Kind, Usage> {
+/// Returns the usage of the machines with a record, by kind.
+fn usage_by_kind(
+    config: &Config,
+    snapshot: &FleetSnapshot<'_>,
+) -> BTreeMap<MachineKind, KindUsage> {
     let digests = snapshot.machine_digests();
-    let mut usage: BTreeMap<Kind, Usage> = BTreeMap::new();
+    let mut usage_by_kind: BTreeMap<MachineKind, KindUsage> = BTreeMap::new();
     for (id, record) in snapshot.records {
         let flavor = config.flavors.get(&record.flavor);
         let capacity = flavor.map(ResourceVector::of_flavor).unwrap_or_default();
-        let of_kind = usage.entry(Kind::of(record)).or_default();
-        of_kind.add(&capacity, digests.get(id).map(|(digest, _)| *digest));
+        let kind_usage = usage_by_kind.entry(MachineKind::of(record)).or_default();
+        kind_usage.add(&capacity, digests.get(id).map(|(digest, _)| *digest));
     }
-    usage
+    usage_by_kind
 }
 
-/// The fleet's machines by kind, its shards, and waiting tasks by rank, in one line.
+/// Summarizes the fleet's machines by kind, its shards, and the waiting tasks by rank,
+/// in one line.
 pub fn summary(config: &Config, snapshot: &FleetSnapshot<'_>) -> String {
-    let mut text = String::from("fleet");
-    for (kind, u) in usage(config, snapshot) {
+    let mut text = String::from("observed fleet:");
+    for (kind, usage) in usage_by_kind(config, snapshot) {
         let market = if kind.spot { "spot" } else { "ordinary" };
         text += &format!(
-            " {} {} {market}: {} machines, {} not up, {} idle, {:.1} in use;",
-            kind.flavor, kind.zone, u.machines, u.not_up, u.idle, u.in_use
+            " {} {} {market}: {} machines, {} not reporting, {} idle, {:.1} in use;",
+            kind.flavor, kind.zone, usage.machines, usage.not_reporting, usage.idle, usage.in_use
         );
     }
     for shard in snapshot.shards.values() {
-        let waiting: u32 = shard.demand.iter().map(|d| d.count).sum();
+        let waiting: u32 = shard.demand.iter().map(|demand| demand.count).sum();
         let machines = shard.machines.len();
         text += &format!(
             " shard {}: {machines} machines, {waiting} waiting;",
@@ -64,9 +68,9 @@
         );
     }
     for rank in [Rank::Production, Rank::Urgent, Rank::Standard, Rank::Idle] {
-        let demand = snapshot.shards.values().flat_map(|p| &p.demand);
-        let of_rank = demand.filter(|d| d.rank == rank);
-        let waiting: u32 = of_rank.map(|d| d.count).sum();
+        let demand = snapshot.shards.values().flat_map(|digest| &digest.demand);
+        let rank_demand = demand.filter(|demand| demand.rank == rank);
+        let waiting: u32 = rank_demand.map(|demand| demand.count).sum();
         if waiting > 0 {
             text += &format!(" {rank:?} waiting: {waiting};");
         }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Simulation {
-    pub(super) fn rent(&mut self, kind: &Kind, up_at: MonotonicTime) -> MachineId {
+    pub(super) fn rent(&mut self, kind: &MachineKind, up_at: MonotonicTime) -> MachineId {
         self.machine_count += 1;
         let id = MachineId::from(format!("vm-{:06}", self.machine_count).as_str());
         let worker = Worker {
@@ -92,8 +92,8 @@
             now: self.now,
             records: &records,
             shards: &self.digests,
-            list: self.rng.bool().then_some(list.as_slice()),
-            hold: self.rng.f64() < 0.05,
+            rentals: self.rng.bool().then_some(list.as_slice()),
+            suspend_scale_in: self.rng.f64() < 0.05,
         };
         for action in fleet::decide(&self.config, &mut self.fleet_history, &seen) {
             self.act(action);
@@ -160,7 +160,7 @@
             return;
         };
         if !leaves {
-            self.fleet_history.not_moved(id);
+            self.fleet_history.cancel_move(id);
             return;
         }
         let revision = self.next_revision();
@@ -215,17 +215,18 @@
         }
     }
 
-    pub(super) fn rent_some(&mut self, kind: &Kind, count: u32) {
+    pub(super) fn rent_some(&mut self, kind: &MachineKind, count: u32) {
         // The cloud has few machines, and of some kinds none for now.
         let most = 40_usize.saturating_sub(self.workers.len()) as u32;
         let count = count.min(most).min(self.rng.u32(0..6));
         if count == 0 {
-            self.fleet_history.refused(kind, self.now);
+            self.fleet_history.record_refusal(kind, self.now);
             return;
         }
         let up_at = self.now + Duration::from_secs(8);
         let ids: Vec<MachineId> = (0..count).map(|_| self.rent(kind, up_at)).collect();
-        self.fleet_history.filled(kind);
-        self.fleet_history.rented(&ids, kind, self.now);
+        self.fleet_history.record_filled_rental(kind);
+        self.fleet_history
+            .record_rented_machines(&ids, kind, self.now);
     }
 }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -21,7 +21,7 @@
     Attempt, FencingToken, JobId, JobSpec, MachineId, MonotonicTime, Rank, Revision, Shape,
     ShardId, TaskId,
 };
-use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot, Kind};
+use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot, MachineKind};
 use pulleywood_scheduler::machine_types::{self, MachineTypeDemand};
 use pulleywood_scheduler::quota::{self, Need, Step};
 use pulleywood_scheduler::shard::HeartbeatOutcome;
@@ -72,7 +72,7 @@
     shards: BTreeMap<ShardId, ShardState>,
     workers: BTreeMap<MachineId, Worker>,
     /// Machines rented that have no record yet.
-    booting: BTreeMap<MachineId, Kind>,
+    booting: BTreeMap<MachineId, MachineKind>,
     records: BTreeMap<MachineId, (MachineRecord, Revision)>,
     jobs: BTreeMap<JobId, (JobRecord, Revision)>,
     job_batches: JobBatches,
@@ -144,11 +144,11 @@
         simulation
     }
 
-    fn random_kind(&mut self) -> Kind {
+    fn random_kind(&mut self) -> MachineKind {
         let names = ["g4", "c16", "m8"];
         let name = names[self.rng.usize(0..names.len())];
         let zones = &self.config.flavors[name].zones;
-        Kind {
+        MachineKind {
             flavor: name.into(),
             zone: zones[self.rng.usize(0..zones.len())].clone(),
             spot: self.rng.bool(),
