--- a/crates/pulleywood-scheduler/src/fleet/history.rs
+++ b/crates/pulleywood-scheduler/src/fleet/history.rs
@@ -41,6 +41,7 @@
     pub(super) first_seen: BTreeMap<MachineId, MonotonicTime>,
     /// Time since which a machine with a record is missing from the cloud's list.
     pub(super) unlisted_since: BTreeMap<MachineId, MonotonicTime>,
+    /// Rented machines without a record that still count as capacity.
     pub(super) booting: BTreeMap<MachineId, BootingMachine>,
     /// Time of each recent move of a machine to another shard.
     pub(super) moved_at: BTreeMap<MachineId, MonotonicTime>,
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -33,8 +33,8 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A kind of machine: all machines that the cloud rents out at the same price in the
-/// same zone.
+/// Machines of one type, in one zone and one market (spot or ordinary), which the cloud
+/// rents out at the same price.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineKind {
     /// Label of the machine type.
--- a/crates/pulleywood-scheduler/src/fleet/scale_in.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_in.rs
@@ -62,12 +62,12 @@
 /// type. Machines with the largest share of pinned tasks are kept first, then those not
 /// yet draining, then the fullest.
 fn surplus_machines<'b>(config: &Config, history: &FleetHistory, bins: &[&'b Bin]) -> Vec<&'b Bin> {
-    let used = |bin: &Bin| bin.free.used_of(&bin.capacity).clamp(0.0, 1.0);
-    let used_machines: f64 = bins.iter().map(|bin| used(bin)).sum();
+    let used_share = |bin: &Bin| bin.free.used_of(&bin.capacity).clamp(0.0, 1.0);
+    let used_machines: f64 = bins.iter().map(|bin| used_share(bin)).sum();
     let pinned_machines: f64 = bins.iter().map(|bin| bin.pinned_share).sum();
     let spot_machines = bins.iter().filter(|bin| bin.kind.spot).count() as f64;
     let headroom_factor = 1.0 + config.policy.cushion;
-    let needed = (pinned_machines * headroom_factor)
+    let needed_machines = (pinned_machines * headroom_factor)
         .max(used_machines * headroom_factor - spot_machines)
         .ceil() as usize;
     let mut ordinary: Vec<&Bin> = bins
@@ -79,9 +79,9 @@
         b.pinned_share
             .total_cmp(&a.pinned_share)
             .then(a.is_draining(history).cmp(&b.is_draining(history)))
-            .then(used(b).total_cmp(&used(a)))
+            .then(used_share(b).total_cmp(&used_share(a)))
     });
-    ordinary.into_iter().skip(needed).collect()
+    ordinary.into_iter().skip(needed_machines).collect()
 }
 
 /// Returns the actions that give back idle quarantined machines.
@@ -105,12 +105,12 @@
 ) -> Vec<Action> {
     // No ordinary machines are kept idle if all tasks may run on spot machines.
     let needs_headroom = spot || bins.iter().any(|bin| bin.pinned_share > 0.0);
-    let in_use: f64 = bins
+    let machines_in_use: f64 = bins
         .iter()
         .filter(|bin| needs_headroom && bin.kind.spot == spot)
         .map(|bin| 1.0 - bin.free.share_of(&bin.capacity))
         .sum();
-    let mut idle: Vec<(f64, &MachineId, ShardId)> = bins
+    let mut idle_machines: Vec<(f64, &MachineId, ShardId)> = bins
         .iter()
         .filter(|bin| bin.kind.spot == spot && bin.packed_tasks == 0)
         .filter_map(|bin| {
@@ -124,9 +124,10 @@
             (digest.idle_s >= min_idle_s).then_some((digest.idle_s, id, *shard))
         })
         .collect();
-    idle.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let kept_machines = (in_use * config.policy.cushion).floor() as usize;
-    idle.into_iter()
+    idle_machines.sort_by(|a, b| b.0.total_cmp(&a.0));
+    let kept_machines = (machines_in_use * config.policy.cushion).floor() as usize;
+    idle_machines
+        .into_iter()
         .skip(kept_machines)
         .map(|(_, id, shard)| Action::ScaleIn(id.clone(), shard))
         .collect()
--- a/crates/pulleywood-scheduler/src/placement/assign.rs
+++ b/crates/pulleywood-scheduler/src/placement/assign.rs
@@ -51,7 +51,7 @@
     avoided_types: MachineTypes,
     /// Number of the job's tasks by zone, including planned ones.
     tasks_by_zone: BTreeMap<String, u32>,
-    candidates: Vec<ScoredCandidate>,
+    scored_candidates: Vec<ScoredCandidate>,
     /// Tasks per second that end on machines with the image; computed on first use.
     warm_completions_per_s: Option<f64>,
     /// Zones where preemption would free a machine that has the image; computed on
@@ -113,13 +113,13 @@
     ) -> Assignment<'a> {
         let need = ResourceVector::of_task(&job.spec);
         let avoided_types = self.state.choices.left_by_job(self.config, &job.spec);
-        let candidates = self.score_candidates(job, &need, &avoided_types);
+        let scored_candidates = self.score_candidates(job, &need, &avoided_types);
         Assignment {
             job,
             need,
             avoided_types,
             tasks_by_zone,
-            candidates,
+            scored_candidates,
             warm_completions_per_s: None,
             preemptable_zones: None,
         }
@@ -147,7 +147,7 @@
     /// all have ended.
     fn gang_fits(&self, assignment: &Assignment<'_>) -> bool {
         let fitting_tasks: u32 = assignment
-            .candidates
+            .scored_candidates
             .iter()
             .map(|scored| {
                 self.candidates[scored.candidate_index]
@@ -168,7 +168,7 @@
         let Some(scored_index) = self.cheapest_allowed_candidate(task_index, assignment) else {
             return TaskOutcome::NoCandidate;
         };
-        let candidate_index = assignment.candidates[scored_index].candidate_index;
+        let candidate_index = assignment.scored_candidates[scored_index].candidate_index;
         let delay_s = self.candidates[candidate_index].fetch_delay_s(&assignment.job.spec);
         if self.warm_machine_expected_within(delay_s, assignment) {
             self.tasks_awaiting_warm_machine += 1;
@@ -192,7 +192,7 @@
     ) -> Option<usize> {
         let (job, tasks_by_zone) = (assignment.job, &assignment.tasks_by_zone);
         assignment
-            .candidates
+            .scored_candidates
             .iter()
             .enumerate()
             .filter(|(_, scored)| {
@@ -246,7 +246,7 @@
         assignment: &mut Assignment<'a>,
     ) {
         let spec: &'a JobSpec = &assignment.job.spec;
-        let candidate_index = assignment.candidates[scored_index].candidate_index;
+        let candidate_index = assignment.scored_candidates[scored_index].candidate_index;
         let candidate = &mut self.candidates[candidate_index];
         candidate.add_task(job_id, task_index, spec);
         assignment.preemptable_zones = None;
@@ -256,10 +256,10 @@
             .or_insert(0) += 1;
         add_usage(&mut self.usage, &spec.team, assignment.need.slots());
         if candidate.launches_left > 0 && candidate.free.fits(&assignment.need) {
-            assignment.candidates[scored_index].cost_s =
+            assignment.scored_candidates[scored_index].cost_s =
                 candidate.cost_s(spec, &assignment.avoided_types, self.config);
         } else {
-            assignment.candidates.swap_remove(scored_index);
+            assignment.scored_candidates.swap_remove(scored_index);
         }
         if candidate.launches_left == 0 || !candidate.free.fits(&self.smallest_task) {
             self.open_candidates
--- a/crates/pulleywood-scheduler/src/placement/claim.rs
+++ b/crates/pulleywood-scheduler/src/placement/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: which running tasks may be preempted for a waiting task.
+//! Claims: determines which running tasks may be preempted for a waiting task.
 
 use super::SchedulingCycle;
 use super::queue::usage_in_all_shards;
@@ -16,7 +16,7 @@
     IfBorrowed,
 }
 
-/// Determines what a job's next task may preempt.
+/// What a job's next task may preempt.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Claim<'a> {
     /// Whether the task is covered by its team's guarantee.
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -1,4 +1,4 @@
-//! Filters: which machines are eligible for a task.
+//! Filters: determines which machines are eligible for a task.
 
 use super::SchedulingCycle;
 use super::candidates::CandidateMachine;
--- a/crates/pulleywood-scheduler/src/placement/preempt.rs
+++ b/crates/pulleywood-scheduler/src/placement/preempt.rs
@@ -53,7 +53,11 @@
         let mut claim = self.claim(spec, &usage);
         let request = self.preemption_request(job, &claim);
         let mut options = self.placement_options(&request, &claim);
-        for task_index in job.waiting.iter().filter(|i| !planned.contains(i)) {
+        for task_index in job
+            .waiting
+            .iter()
+            .filter(|task_index| !planned.contains(task_index))
+        {
             if options.is_empty() || !self.quota_allows(spec, &usage) {
                 return;
             }
