--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -23,6 +23,6 @@
     if started && !cut_off {
         Response::status(200)
     } else {
-        Response::later(503, 1)
+        Response::retry_later(503, 1)
     }
 }
--- a/crates/pulleywood-controller/src/api/router.rs
+++ b/crates/pulleywood-controller/src/api/router.rs
@@ -2,7 +2,7 @@
 
 use super::{health, users, workers};
 use crate::state::ControllerContext;
-use pulleywood_transport::server::{Handler, Request, Response, Sender};
+use pulleywood_transport::server::{ClientKind, Handler, Request, Response};
 use std::sync::Arc;
 
 const HEARTBEATS: &str = "/v1/report";
@@ -15,11 +15,11 @@
 pub struct RequestRouter(pub Arc<ControllerContext>);
 
 impl Handler for RequestRouter {
-    fn sender(&self, request: &Request<'_>) -> Sender {
+    fn client_kind(&self, request: &Request<'_>) -> ClientKind {
         match request.path {
-            HEARTBEATS => Sender::Worker,
-            READY => Sender::Probe,
-            _ => Sender::User,
+            HEARTBEATS => ClientKind::Worker,
+            READY => ClientKind::HealthCheck,
+            _ => ClientKind::User,
         }
     }
 
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -69,7 +69,7 @@
         return Response::status(404);
     };
     let Some(shards) = shard_count(context) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
     for _ in 0..CANCEL_ATTEMPTS {
         match lookup(context, &id) {
@@ -93,7 +93,7 @@
             }
         }
     }
-    Response::later(503, 1)
+    Response::retry_later(503, 1)
 }
 
 fn shard_count(context: &ControllerContext) -> Option<u32> {
@@ -105,9 +105,9 @@
     match error {
         StoreError::Budget(wait) => {
             let seconds = wait.as_secs_f64().ceil();
-            Response::later(429, seconds.clamp(MIN_RETRY_S, MAX_RETRY_S) as u32)
+            Response::retry_later(429, seconds.clamp(MIN_RETRY_S, MAX_RETRY_S) as u32)
         }
-        _ => Response::later(503, 1),
+        _ => Response::retry_later(503, 1),
     }
 }
 
@@ -126,7 +126,7 @@
 fn decide_submission(context: &ControllerContext, spec: JobSpec) -> SubmissionDecision {
     let config = Arc::clone(&context.controller.lock().config);
     let Some(shards) = shard_count(context).filter(|_| !config.flavors.is_empty()) else {
-        return SubmissionDecision::Respond(Response::later(503, 1));
+        return SubmissionDecision::Respond(Response::retry_later(503, 1));
     };
     if let Some(reason) = config.never_runs(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
@@ -212,7 +212,7 @@
             Response::cbor(201, &answer)
         }
         SubmissionOutcome::Known => match lookup(context, &id) {
-            Ok(StoredJob::Unknown) => Response::later(503, 1),
+            Ok(StoredJob::Unknown) => Response::retry_later(503, 1),
             Ok(stored) => respond(context, &id, &stored),
             Err(e) => retry_later(&e),
         },
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -49,14 +49,14 @@
                 let leader = Some(member);
                 return Response::cbor(421, &Redirect { leader });
             }
-            Route::Nobody => return Response::later(503, 1),
+            Route::Nobody => return Response::retry_later(503, 1),
             Route::Register(shard) => match register(context, &heartbeat, shard) {
                 RegistrationOutcome::Registered => {}
-                RegistrationOutcome::NotRegistered => return Response::later(503, 1),
+                RegistrationOutcome::NotRegistered => return Response::retry_later(503, 1),
             },
         }
     }
-    Response::later(503, 1)
+    Response::retry_later(503, 1)
 }
 
 /// Decides where heartbeats belong, by what this controller knows now.
@@ -165,7 +165,7 @@
     let config = Arc::clone(&controller.config);
     let launch = controller.may_launch(now);
     let Some(led) = controller.led_shards.get_mut(&shard) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
     match led.state.heartbeat(heartbeat, false, now, &config) {
         HeartbeatOutcome::Fresh => {}
@@ -174,14 +174,16 @@
             if context.recovery.is_some() {
                 controller.note_fencing_token(&heartbeat.machine, heartbeat.fencing_token, now);
             }
-            return Response::later(503, 1);
+            return Response::retry_later(503, 1);
         }
         // Its worker has given this heartbeat up and drops the response.
-        HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => return Response::later(503, 1),
+        HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => {
+            return Response::retry_later(503, 1);
+        }
     }
     let commands = led.state.answer(&heartbeat.machine, launch, now, &config);
     let Some(machine) = led.state.machines.get(&heartbeat.machine) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
     let fencing_token = machine.fencing_token(led.state.fencing_token);
     drop(controller);
--- a/crates/pulleywood-testkit/src/cloud.rs
+++ b/crates/pulleywood-testkit/src/cloud.rs
@@ -79,7 +79,7 @@
         });
         let addr = serve(
             loopback(),
-            Limits::thread_each(32),
+            Limits::thread_per_connection(32),
             CloudHandler(Arc::clone(&shared)),
         )?
         .address;
--- a/crates/pulleywood-testkit/src/store/mod.rs
+++ b/crates/pulleywood-testkit/src/store/mod.rs
@@ -55,7 +55,7 @@
             service: Arc::clone(&self.service),
             fault: Arc::clone(&fault),
         };
-        let addr = serve(loopback(), Limits::thread_each(64), handler)?.address;
+        let addr = serve(loopback(), Limits::thread_per_connection(64), handler)?.address;
         Ok(StoreEndpoint { addr, fault })
     }
 
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -113,7 +113,7 @@
             worker: Arc::clone(&worker),
             addr: Arc::clone(&own_address),
         };
-        let addr = serve(loopback(), Limits::thread_each(16), handler)?.address;
+        let addr = serve(loopback(), Limits::thread_per_connection(16), handler)?.address;
         *own_address.lock() = Some(addr);
         let running = Arc::clone(&worker);
         std::thread::spawn(move || running.run(addr));
--- a/crates/pulleywood-transport/src/client.rs
+++ b/crates/pulleywood-transport/src/client.rs
@@ -63,7 +63,7 @@
 }
 
 /// Time left, or a time-out error.
-pub(crate) fn left(deadline: Instant) -> std::io::Result<Duration> {
+pub(crate) fn remaining(deadline: Instant) -> std::io::Result<Duration> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left < MIN_TIMEOUT {
         return Err(ErrorKind::TimedOut.into());
@@ -73,7 +73,7 @@
 
 /// Opens a connection for small messages.
 pub(crate) fn connect(addr: SocketAddr, deadline: Instant) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&addr, left(deadline)?)?;
+    let stream = TcpStream::connect_timeout(&addr, remaining(deadline)?)?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
@@ -178,7 +178,9 @@
     request: &[u8],
     deadline: Instant,
 ) -> std::io::Result<(Answer, bool)> {
-    connection.stream.set_write_timeout(Some(left(deadline)?))?;
+    connection
+        .stream
+        .set_write_timeout(Some(remaining(deadline)?))?;
     connection.stream.write_all(request)?;
     connection.buffer.clear();
     let mut chunk = [0u8; READ_SIZE];
@@ -190,7 +192,9 @@
         {
             return Ok(finish(connection, head, end));
         }
-        connection.stream.set_read_timeout(Some(left(deadline)?))?;
+        connection
+            .stream
+            .set_read_timeout(Some(remaining(deadline)?))?;
         let count = match connection.stream.read(&mut chunk) {
             Ok(0) => return answer_ended_by_close(&connection.buffer, head),
             Ok(count) => count,
--- a/crates/pulleywood-transport/src/peer.rs
+++ b/crates/pulleywood-transport/src/peer.rs
@@ -1,6 +1,6 @@
 //! Calls between controllers: length-prefixed MessagePack over TCP.
 
-use crate::client::{connect, left};
+use crate::client::{connect, remaining};
 use crate::server::listen;
 use parking_lot::Mutex;
 use pulleywood_protocol::peer::{PeerRequest, PeerResponse};
@@ -115,9 +115,9 @@
     ask: &PeerRequest,
     deadline: Instant,
 ) -> std::io::Result<PeerResponse> {
-    stream.set_write_timeout(Some(left(deadline)?))?;
+    stream.set_write_timeout(Some(remaining(deadline)?))?;
     write_message(stream, ask)?;
-    stream.set_read_timeout(Some(left(deadline)?))?;
+    stream.set_read_timeout(Some(remaining(deadline)?))?;
     read_message(stream)
 }
 
--- a/crates/pulleywood-transport/src/server/admission.rs
+++ b/crates/pulleywood-transport/src/server/admission.rs
@@ -1,20 +1,22 @@
-//! How scarce connections and threads are, and what is given up first.
+//! Admission control: decides, from the limits and the current load, which connections and
+//! requests the server accepts and when connections are closed or parked early.
 
-use super::{Gauges, Limits, Sender};
+use super::{ClientKind, Gauges, Limits};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Decides from the limits and the present load. All methods are cheap and take no lock.
+/// Admission control of one server. No method takes a lock.
 pub struct Admission {
     limits: Limits,
     gauges: Arc<Gauges>,
-    /// Users' requests being handled.
+    /// User requests that are being handled.
     user_requests: AtomicUsize,
-    /// There may be more connections than threads, so that waiting ones are parked.
-    parks: bool,
+    /// Whether waiting connections are parked: the limits allow more connections than threads.
+    parking_enabled: bool,
 }
 
-/// A request that is being handled. It counts until this is dropped.
+/// Counts one request against the limit on user requests until it is dropped. `None` for
+/// requests to which that limit does not apply.
 pub struct AdmittedRequest<'a>(Option<&'a AtomicUsize>);
 
 impl Drop for AdmittedRequest<'_> {
@@ -26,59 +28,60 @@
 }
 
 impl Admission {
-    /// For a server within `limits`. `parks`: it can park connections.
-    pub fn new(limits: Limits, gauges: Arc<Gauges>, parks: bool) -> Admission {
+    /// Creates the admission control of a server within `limits`, which parks waiting
+    /// connections if `parking_enabled` is set.
+    pub fn new(limits: Limits, gauges: Arc<Gauges>, parking_enabled: bool) -> Admission {
         Admission {
             limits,
             gauges,
             user_requests: AtomicUsize::new(0),
-            parks,
+            parking_enabled,
         }
     }
 
-    /// The server's bounds.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// What the server holds now.
     pub fn gauges(&self) -> &Gauges {
         &self.gauges
     }
 
-    /// Counts one more connection, unless there are as many as there may be.
+    /// Counts a new connection. Returns `false`, without counting it, if the limit on
+    /// connections is reached.
     pub fn admit_connection(&self) -> bool {
-        if self.gauges.open() >= self.limits.connections {
+        if self.gauges.open_connections() >= self.limits.connections {
             return false;
         }
         self.gauges.open.fetch_add(1, Ordering::SeqCst);
         true
     }
 
-    /// A connection is over: whoever sees its end finds its place free.
-    pub fn connection_ended(&self) {
+    /// Frees the slot of an admitted connection. Called after the socket is closed.
+    pub fn release_connection(&self) {
         self.gauges.open.fetch_sub(1, Ordering::SeqCst);
     }
 
-    /// Connections are too scarce to keep idle ones of this sender.
-    pub fn is_scarce(&self, sender: Sender) -> bool {
-        sender.is_scarce(self.gauges.open(), self.limits.connections)
+    /// Whether so many connections are open that those of this kind of client are closed after
+    /// their responses, or sooner when idle.
+    pub fn connections_scarce(&self, client: ClientKind) -> bool {
+        client.connections_scarce(self.gauges.open_connections(), self.limits.connections)
     }
 
-    /// Three quarters of the threads would be taken if each connection had one, so
-    /// connections that wait are parked.
-    pub fn lacks_threads(&self) -> bool {
-        self.parks && self.gauges.open() * 4 > self.limits.threads * 3
+    /// Whether waiting connections must be parked: the open connections, with a thread each,
+    /// would occupy more than three quarters of the threads.
+    pub fn threads_scarce(&self) -> bool {
+        self.parking_enabled && self.gauges.open_connections() * 4 > self.limits.threads * 3
     }
 
-    /// Admits a request, unless it is a user's and users' requests take three quarters
-    /// of the threads: the rest is left to workers and health checks.
-    pub fn admit_request(&self, sender: Sender) -> Option<AdmittedRequest<'_>> {
-        if sender != Sender::User || !self.parks {
+    /// Admits a request. Returns `None` for a user request if user requests already occupy
+    /// three quarters of the threads: the rest is reserved for workers and health checks.
+    pub fn admit_request(&self, client: ClientKind) -> Option<AdmittedRequest<'_>> {
+        if client != ClientKind::User || !self.parking_enabled {
             return Some(AdmittedRequest(None));
         }
-        let before = self.user_requests.fetch_add(1, Ordering::SeqCst);
+        let previous = self.user_requests.fetch_add(1, Ordering::SeqCst);
         let admitted = AdmittedRequest(Some(&self.user_requests));
-        (before * 4 < self.limits.threads * 3).then_some(admitted)
+        (previous * 4 < self.limits.threads * 3).then_some(admitted)
     }
 }
--- a/crates/pulleywood-transport/src/server/connection.rs
+++ b/crates/pulleywood-transport/src/server/connection.rs
@@ -1,143 +1,149 @@
-//! One connection: reads requests, has them answered, and closes it when a deadline
-//! passes. It knows neither the threads that serve it nor where it is parked.
+//! Serves one connection: reads requests, passes them to the handler, writes the responses and
+//! enforces the timeouts. Threads and parking are left to the caller.
 
 use super::admission::Admission;
-use super::http::{Head, Parsed, parse, request, send};
-use super::{Handler, Response, Sender};
+use super::http::{Head, Parsed, parse_head, parse_request, send};
+use super::{ClientKind, Handler, Response};
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// A request must be complete this long after its first byte.
+/// Maximum time from the first byte of a request to its last.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time-out of a write: a client that does not read its response is dropped.
+/// Write timeout of a response: a client that does not read it is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection may wait for its next request.
+/// Maximum time that a connection waits for its next request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long it may do so while connections are scarce.
+/// Idle timeout while connections are scarce.
 const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A waiting thread checks this often whether connections or threads have become scarce.
+/// How long a thread waits for a request at most before it checks again whether connections or
+/// threads have become scarce.
 const SCARCITY_CHECK_INTERVAL: Duration = Duration::from_secs(6);
-/// How long the rest of a request is waited for before the connection is parked, while
-/// threads are scarce.
-const PARTIAL_REQUEST_WAIT: Duration = Duration::from_millis(20);
-/// A larger buffer is freed after its request, in bytes.
-const MAX_KEPT_BUFFER: usize = 16_384;
-/// Size of the buffer that replaces it, in bytes.
+/// How long a thread waits for more bytes, while threads are scarce, before the connection is
+/// parked.
+const READ_TIMEOUT_BEFORE_PARKING: Duration = Duration::from_millis(20);
+/// A read buffer with more capacity than this, in bytes, is freed once it is empty.
+const MAX_RETAINED_BUFFER: usize = 16_384;
+/// Capacity of the buffer that replaces a freed one, in bytes.
 const INITIAL_BUFFER: usize = 2048;
-/// Bytes read at a time.
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 4096;
 
 /// An open connection.
 pub struct Connection {
     pub stream: TcpStream,
-    /// Bytes that have come of the next request.
+    /// Bytes received that belong to requests not yet answered.
     buffer: Vec<u8>,
-    /// Who sent the last request.
-    sender: Sender,
-    /// Since when it waits for the next request.
+    /// Who sent the last request; a user before the first one.
+    client: ClientKind,
+    /// When the connection was opened or its last response sent.
     idle_since: Instant,
-    /// When the request that has begun must be complete.
+    /// When the request that has been received in part must be complete; `None` between
+    /// requests.
     deadline: Option<Instant>,
-    /// The read time-out that is set.
-    timeout: Duration,
+    /// The read timeout that is set on the socket; zero if none has been set.
+    read_timeout: Duration,
 }
 
-/// What a thread leaves a connection as.
-pub enum Left {
-    /// To be closed.
-    Ended,
-    /// To be parked until bytes come.
-    Waiting(Connection),
+/// How a thread finished with a connection.
+pub enum ServeOutcome {
+    /// The connection is closed.
+    Closed,
+    /// The connection waits for bytes and must be parked.
+    Parked(Connection),
 }
 
-/// What came of waiting for a request.
-enum Next {
+/// Result of waiting for a request.
+enum ReadOutcome {
     Request(Head),
-    Refuse(u16),
-    Ended,
+    /// The request is invalid and is rejected with this status.
+    Reject(u16),
+    /// The client closed the connection.
+    Closed,
+    /// The request is incomplete, and threads are too scarce to wait for the rest.
     Park,
 }
 
 impl Connection {
-    /// A new one.
+    /// Prepares an accepted socket. Fails if its options cannot be set.
     pub fn new(stream: TcpStream) -> std::io::Result<Connection> {
         stream.set_nodelay(true)?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         Ok(Connection {
             stream,
             buffer: Vec::new(),
-            sender: Sender::User,
+            client: ClientKind::User,
             idle_since: Instant::now(),
             deadline: None,
-            timeout: Duration::ZERO,
+            read_timeout: Duration::ZERO,
         })
     }
 
-    /// Whether a parked connection has waited too long. `open` of `most` connections are
-    /// in use: if they are scarce, idle ones go sooner.
-    pub fn is_overdue(&self, now: Instant, open: usize, most: usize) -> bool {
-        let idle = if self.sender.is_scarce(open, most) {
+    /// Whether the timeout of a parked connection has passed. The idle timeout is shorter if
+    /// connections are scarce with `open` of at most `max_connections` open.
+    pub fn is_timed_out(&self, now: Instant, open: usize, max_connections: usize) -> bool {
+        let idle_timeout = if self.client.connections_scarce(open, max_connections) {
             SCARCE_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
         };
         match self.deadline {
             Some(deadline) => now >= deadline,
-            None => now >= self.idle_since + idle,
+            None => now >= self.idle_since + idle_timeout,
         }
     }
 
-    /// Serves requests until the connection ends or is to be parked.
+    /// Serves requests until the connection closes or must be parked.
     pub fn serve<H: Handler>(
         mut self,
         handler: &H,
         admission: &Admission,
-    ) -> std::io::Result<Left> {
+    ) -> std::io::Result<ServeOutcome> {
         let mut answered = false;
         loop {
-            // Bytes of the next request wake it where it is parked.
-            if answered && self.buffer.is_empty() && admission.lacks_threads() {
-                return Ok(Left::Waiting(self));
+            // With an empty buffer it can be parked: the bytes of the next request wake it.
+            if answered && self.buffer.is_empty() && admission.threads_scarce() {
+                return Ok(ServeOutcome::Parked(self));
             }
-            let head = match self.next_request(admission)? {
-                Next::Request(head) => head,
-                Next::Ended => return Ok(Left::Ended),
-                Next::Park => return Ok(Left::Waiting(self)),
-                Next::Refuse(status) => {
-                    log::info!("a request was refused with {status}");
+            let head = match self.read_request(admission)? {
+                ReadOutcome::Request(head) => head,
+                ReadOutcome::Closed => return Ok(ServeOutcome::Closed),
+                ReadOutcome::Park => return Ok(ServeOutcome::Parked(self)),
+                ReadOutcome::Reject(status) => {
+                    log::info!("rejected an invalid request with HTTP status {status}");
                     send(&mut self.stream, &Response::status(status), true)?;
-                    return Ok(Left::Ended);
+                    return Ok(ServeOutcome::Closed);
                 }
             };
             if self.answer(head, handler, admission)? {
-                return Ok(Left::Ended);
+                return Ok(ServeOutcome::Closed);
             }
             answered = true;
         }
     }
 
-    /// Answers one request; whether the connection is closed after it.
+    /// Answers the first request in the buffer. Returns whether the connection must be closed.
     fn answer<H: Handler>(
         &mut self,
         head: Head,
         handler: &H,
         admission: &Admission,
     ) -> std::io::Result<bool> {
-        let response = match request(&self.buffer[..head.length()], head.head) {
+        let response = match parse_request(&self.buffer[..head.request_length()], head.head_length)
+        {
             Some(request) => {
-                self.sender = handler.sender(&request);
-                match admission.admit_request(self.sender) {
+                self.client = handler.client_kind(&request);
+                match admission.admit_request(self.client) {
                     Some(_admitted) => handler.handle(&request),
-                    None => Response::later(503, 1),
+                    None => Response::retry_later(503, 1),
                 }
             }
             None => Response::status(400),
         };
-        let close = head.close || admission.is_scarce(self.sender);
+        let close = head.close || admission.connections_scarce(self.client);
         send(&mut self.stream, &response, close)?;
-        self.buffer.drain(..head.length());
-        if self.buffer.is_empty() && self.buffer.capacity() > MAX_KEPT_BUFFER {
+        self.buffer.drain(..head.request_length());
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_RETAINED_BUFFER {
             self.buffer = Vec::with_capacity(INITIAL_BUFFER);
         }
         self.idle_since = Instant::now();
@@ -145,39 +151,39 @@
         Ok(close)
     }
 
-    /// Waits for a whole request.
-    fn next_request(&mut self, admission: &Admission) -> std::io::Result<Next> {
+    /// Reads until the buffer holds a complete request.
+    fn read_request(&mut self, admission: &Admission) -> std::io::Result<ReadOutcome> {
         let mut chunk = [0u8; READ_SIZE];
         loop {
-            match parse(&self.buffer) {
-                Parsed::Whole(head) if self.buffer.len() >= head.length() => {
-                    return Ok(Next::Request(head));
+            match parse_head(&self.buffer) {
+                Parsed::Complete(head) if self.buffer.len() >= head.request_length() => {
+                    return Ok(ReadOutcome::Request(head));
                 }
-                Parsed::Refuse(status) => return Ok(Next::Refuse(status)),
+                Parsed::Reject(status) => return Ok(ReadOutcome::Reject(status)),
                 _ => {}
             }
-            let scarce = admission.is_scarce(self.sender);
-            let parks = admission.lacks_threads();
-            let wait = match self.deadline {
-                _ if parks => PARTIAL_REQUEST_WAIT,
-                Some(deadline) => crate::client::left(deadline)?,
-                None if scarce => SCARCE_IDLE_TIMEOUT,
+            let connections_scarce = admission.connections_scarce(self.client);
+            let threads_scarce = admission.threads_scarce();
+            let read_timeout = match self.deadline {
+                _ if threads_scarce => READ_TIMEOUT_BEFORE_PARKING,
+                Some(deadline) => crate::client::remaining(deadline)?,
+                None if connections_scarce => SCARCE_IDLE_TIMEOUT,
                 None => SCARCITY_CHECK_INTERVAL
-                    .min(crate::client::left(self.idle_since + IDLE_TIMEOUT)?),
+                    .min(crate::client::remaining(self.idle_since + IDLE_TIMEOUT)?),
             };
-            if wait != self.timeout {
-                self.stream.set_read_timeout(Some(wait))?;
-                self.timeout = wait;
+            if read_timeout != self.read_timeout {
+                self.stream.set_read_timeout(Some(read_timeout))?;
+                self.read_timeout = read_timeout;
             }
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(Next::Ended),
-                Ok(n) => self.buffer.extend_from_slice(&chunk[..n]),
+                Ok(0) => return Ok(ReadOutcome::Closed),
+                Ok(count) => self.buffer.extend_from_slice(&chunk[..count]),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    if admission.lacks_threads() {
-                        return Ok(Next::Park);
+                    if admission.threads_scarce() {
+                        return Ok(ReadOutcome::Park);
                     }
-                    if self.deadline.is_some() || scarce {
+                    if self.deadline.is_some() || connections_scarce {
                         return Err(e);
                     }
                     continue;
--- a/crates/pulleywood-transport/src/server/mod.rs
+++ b/crates/pulleywood-transport/src/server/mod.rs
@@ -1,12 +1,11 @@
 //! A blocking HTTP/1.1 server with bounded threads, connections and deadlines.
 //!
-//! A connection is served by a thread of a bounded pool. While threads are
-//! plentiful, a thread stays with its connection between requests. Once most of
-//! them are taken, a connection that waits for its next request, or for the
-//! rest of one, is *parked*: one thread watches all parked connections and hands
-//! a connection back to the pool when bytes have come. So the number of
-//! connections is bounded by sockets and memory, not by threads, and slow or silent clients hold no
-//! thread.
+//! A connection is served by a thread of a bounded pool. While enough threads are free, a
+//! thread stays with its connection between requests. Once connections could occupy more than
+//! three quarters of the threads, a connection that waits for its next request, or for the rest
+//! of one, is *parked*: one thread polls all parked connections and returns a connection to the
+//! pool when bytes arrive. So sockets and memory bound the number of connections, not threads,
+//! and slow or silent clients occupy no thread.
 
 mod admission;
 mod connection;
@@ -23,36 +22,38 @@
 
 pub use http::MAX_BODY;
 
-const STACK: usize = 128 * 1024;
+/// Stack size of the server's threads, in bytes.
+const STACK_SIZE: usize = 128 * 1024;
 
-/// A request.
+/// A complete HTTP request.
 #[derive(Debug)]
 pub struct Request<'a> {
-    /// The method.
+    /// HTTP method, as sent.
     pub method: &'a str,
-    /// The path without the query.
+    /// Path of the request target, without the query.
     pub path: &'a str,
-    /// The query.
+    /// Query without the question mark, not decoded; empty if there is none.
     pub query: &'a str,
-    /// The body.
+    /// Body, at most [`MAX_BODY`] bytes; empty if there is none.
     pub body: &'a [u8],
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug, Default)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Body, CBOR.
+    /// Body in CBOR; empty if there is none.
     pub body: Vec<u8>,
-    /// Seconds after which to come back.
+    /// Value of the `Retry-After` header, in seconds; `None` leaves the header out.
     pub retry_after: Option<u32>,
-    /// Methods that the path allows.
+    /// Value of the `Allow` header, the methods that the path supports; `None` leaves the
+    /// header out.
     pub allow: Option<&'static str>,
 }
 
 impl Response {
-    /// A response without a body.
+    /// Creates a response without a body.
     pub fn status(status: u16) -> Self {
         Self {
             status,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A response with a CBOR body.
+    /// Creates a response with `body` encoded in CBOR.
     pub fn cbor<T: serde::Serialize>(status: u16, body: &T) -> Self {
         Self {
             status,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Not now: come back after some seconds.
-    pub fn later(status: u16, seconds: u32) -> Self {
+    /// Creates a response without a body that asks the client to retry after some seconds.
+    pub fn retry_later(status: u16, seconds: u32) -> Self {
         Self {
             status,
             retry_after: Some(seconds),
@@ -79,56 +80,57 @@
     }
 }
 
-/// Who sent a request, which decides what is given up first when connections
-/// or threads are scarce.
+/// Kind of client that sent a request. It decides whose connections are closed and whose
+/// requests are rejected first when connections or threads are scarce.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub enum Sender {
-    /// A user, or nobody yet. Its connections are closed after their answers,
-    /// or when idle, while more than half of all are open; its requests take at
-    /// most three quarters of the threads.
+pub enum ClientKind {
+    /// A user, or a client that has sent no request yet. While more than half of the allowed
+    /// connections are open, its connections are closed after each response, or sooner when
+    /// idle. User requests occupy at most three quarters of the threads.
     #[default]
     User,
-    /// A health check: its connections are closed like a user's, its requests
-    /// may take any thread.
-    Probe,
-    /// A worker, whose tasks die with its lease if it is not answered. Its
-    /// connection is closed after the answer only while fewer than one in seven
-    /// are left, so that whoever comes next finds one.
+    /// A health check. Its connections are closed like a user's, but its requests may occupy
+    /// any thread.
+    HealthCheck,
+    /// A worker, whose lease expires, and with it its tasks, if its heartbeats are not answered.
+    /// Its connections are closed after each response only while fewer than one in seven of the
+    /// allowed connections are free, so that the next client finds a free one.
     Worker,
 }
 
-impl Sender {
-    fn is_scarce(self, open: usize, max: usize) -> bool {
+impl ClientKind {
+    fn connections_scarce(self, open: usize, max_connections: usize) -> bool {
         match self {
-            Sender::User | Sender::Probe => open * 2 > max,
-            Sender::Worker => open * 7 > max * 6,
+            ClientKind::User | ClientKind::HealthCheck => open * 2 > max_connections,
+            ClientKind::Worker => open * 7 > max_connections * 6,
         }
     }
 }
 
-/// Answers requests.
+/// Handles the requests of a server.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Returns the response to a request. Called from several threads at a time.
     fn handle(&self, request: &Request<'_>) -> Response;
 
-    /// Who sends such a request.
-    fn sender(&self, _request: &Request<'_>) -> Sender {
-        Sender::User
+    /// Returns which kind of client sends such a request.
+    fn client_kind(&self, _request: &Request<'_>) -> ClientKind {
+        ClientKind::User
     }
 }
 
-/// How much a server may take.
+/// Resource limits of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Open connections; more are answered 503 at once and closed.
+    /// Maximum number of open connections; a further one gets status 503 and is closed.
     pub connections: usize,
-    /// Threads that serve them.
+    /// Maximum number of threads that serve connections. If it is less than `connections`,
+    /// waiting connections are parked while threads are scarce.
     pub threads: usize,
 }
 
 impl Limits {
-    /// A thread for each of this many connections.
-    pub fn thread_each(connections: usize) -> Limits {
+    /// Allows this many connections and as many threads, so that none is ever parked.
+    pub fn thread_per_connection(connections: usize) -> Limits {
         Limits {
             connections,
             threads: connections,
@@ -136,59 +138,59 @@
     }
 }
 
-/// What a server holds at a moment.
+/// Current number of connections and threads of a server.
 #[derive(Debug, Default)]
 pub struct Gauges {
     open: AtomicUsize,
     threads: AtomicUsize,
-    most_threads: AtomicUsize,
+    peak_threads: AtomicUsize,
 }
 
 impl Gauges {
-    /// Open connections.
-    pub fn open(&self) -> usize {
+    /// Number of open connections, parked ones included.
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Most pool threads that there were at a time.
-    pub fn most_threads(&self) -> usize {
-        self.most_threads.load(Ordering::Relaxed)
+    /// Largest number of pool threads that existed at the same time.
+    pub fn peak_threads(&self) -> usize {
+        self.peak_threads.load(Ordering::Relaxed)
     }
 
     fn add_thread(&self) {
         let threads = self.threads.fetch_add(1, Ordering::Relaxed) + 1;
-        self.most_threads.fetch_max(threads, Ordering::Relaxed);
+        self.peak_threads.fetch_max(threads, Ordering::Relaxed);
     }
 }
 
-/// A running server.
+/// A running server. It runs until the process ends, also if this handle is dropped.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// Where it listens.
+    /// Address that the server listens on, with the port that the system chose if 0 was given.
     pub address: SocketAddr,
-    /// What it holds.
+    /// Number of connections and threads, kept up to date by the server.
     pub gauges: Arc<Gauges>,
 }
 
-/// Listens on `addr` and serves connections within `limits`.
+/// Starts a server that listens on `addr` and serves connections within `limits`.
 ///
 /// # Errors
 ///
-/// The socket cannot be opened or a thread cannot be started.
+/// Returns an error if the socket cannot be bound or a thread cannot be started.
 pub fn serve<H: Handler>(addr: SocketAddr, limits: Limits, handler: H) -> std::io::Result<Server> {
-    // All workers may come at once, and one that has to wait for its second try
-    // to connect loses part of its lease.
+    // All workers may connect at once, and a worker that must repeat its connection attempt
+    // loses part of its lease, so the accept queue has room for all allowed connections.
     let listener = listen(addr, limits.connections)?;
     let address = listener.local_addr()?;
     let gauges = Arc::new(Gauges::default());
-    let (parking, waiter) = parking::open(limits)?;
-    let admission = Admission::new(limits, Arc::clone(&gauges), parking.is_some());
-    let pool = Arc::new(Pool::new(handler, admission, parking));
-    if let Some(waiter) = waiter {
+    let (parked_connections, poller) = parking::create(limits)?;
+    let admission = Admission::new(limits, Arc::clone(&gauges), parked_connections.is_some());
+    let pool = Arc::new(Pool::new(handler, admission, parked_connections));
+    if let Some(poller) = poller {
         let pool = Arc::clone(&pool);
         spawn("parked", move || {
-            if let Some(parking) = &pool.parking {
-                waiter.run(parking, &pool.admission, &pool);
+            if let Some(parked_connections) = &pool.parked_connections {
+                poller.run(parked_connections, &pool.admission, &pool);
             }
         })?;
     }
@@ -199,20 +201,20 @@
 fn spawn(name: &str, body: impl FnOnce() + Send + 'static) -> std::io::Result<()> {
     std::thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
+        .stack_size(STACK_SIZE)
         .spawn(body)
         .map(|_| ())
 }
 
-/// A listening socket that a restarted process can bind at once, for up to `max`
-/// connections.
+/// Opens a listening socket whose accept queue has room for `max_connections` connections. Its
+/// address can be bound again as soon as the process restarts.
 ///
 /// # Errors
 ///
-/// The socket cannot be opened or bound.
-pub fn listen(addr: SocketAddr, max: usize) -> std::io::Result<TcpListener> {
-    /// A queue longer than this is cut by the system's own bound, if not before.
-    const LONGEST_QUEUE: usize = 65_535;
+/// Returns an error if the socket cannot be opened or bound.
+pub fn listen(addr: SocketAddr, max_connections: usize) -> std::io::Result<TcpListener> {
+    /// Maximum length of the accept queue; the system may limit it further.
+    const MAX_BACKLOG: usize = 65_535;
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(addr),
         socket2::Type::STREAM,
@@ -220,18 +222,19 @@
     )?;
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(max.clamp(128, LONGEST_QUEUE) as i32)?;
+    socket.listen(max_connections.clamp(128, MAX_BACKLOG) as i32)?;
     Ok(socket.into())
 }
 
 fn accept<H: Handler>(listener: &TcpListener, pool: &Arc<Pool<H>>) {
-    const PAUSE: Duration = Duration::from_millis(20);
+    /// Delay after a failed accept, such as one for lack of file descriptors.
+    const ERROR_DELAY: Duration = Duration::from_millis(20);
     loop {
         match listener.accept() {
             Ok((stream, _)) => pool.admit(stream),
             Err(e) => {
-                log::debug!("accept: {e}");
-                std::thread::sleep(PAUSE);
+                log::debug!("failed to accept a connection: {e}");
+                std::thread::sleep(ERROR_DELAY);
             }
         }
     }
--- a/crates/pulleywood-transport/src/server/parking.rs
+++ b/crates/pulleywood-transport/src/server/parking.rs
@@ -1,4 +1,4 @@
-//! Connections that wait for bytes without a thread of their own.
+//! Parked connections: open connections that wait for bytes without a thread of their own.
 
 use super::Limits;
 use super::admission::Admission;
@@ -10,135 +10,148 @@
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
-/// How often parked connections are looked through for those that have waited
-/// too long.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the waiter wakes while nothing is parked.
-const EMPTY_WAIT: Duration = Duration::from_secs(5);
-/// Connections taken at a time of those that are ready.
-const EVENTS: usize = 256;
+/// Interval between checks for parked connections whose timeout has passed.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the poller waits at most while no connection is parked.
+const IDLE_POLL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of readiness events returned by one poll.
+const EVENT_CAPACITY: usize = 256;
 
-/// Parked connections by their tokens, which are never used twice: an event of
-/// a connection that was taken out meanwhile finds nothing.
+/// Parked connections by token. Tokens are never reused, so a late event for a connection that
+/// is no longer parked matches none.
 #[derive(Default)]
-struct Parked {
-    next: usize,
-    connections: HashMap<Token, Connection>,
+struct ConnectionTable {
+    next_token: usize,
+    by_token: HashMap<Token, Connection>,
 }
 
-/// Where connections are parked.
-pub struct Parking {
+/// Set of parked connections.
+pub struct ParkedConnections {
     registry: Registry,
-    parked: Mutex<Parked>,
+    table: Mutex<ConnectionTable>,
 }
 
-/// Waits for bytes on all parked connections.
-pub struct Waiter {
+/// Polls all parked connections for bytes, on one thread.
+pub struct ReadinessPoller {
     poll: Poll,
 }
 
-/// A place to park, if there may be more connections than threads.
-pub fn open(limits: Limits) -> std::io::Result<(Option<Parking>, Option<Waiter>)> {
+/// Creates the set of parked connections and its poller. Returns `None` for both if the limits
+/// allow a thread for each connection, so that none is ever parked.
+pub fn create(
+    limits: Limits,
+) -> std::io::Result<(Option<ParkedConnections>, Option<ReadinessPoller>)> {
     if limits.connections <= limits.threads {
         return Ok((None, None));
     }
     let poll = Poll::new()?;
     let registry = poll.registry().try_clone()?;
-    let parking = Parking {
+    let parked_connections = ParkedConnections {
         registry,
-        parked: Mutex::default(),
+        table: Mutex::default(),
     };
-    Ok((Some(parking), Some(Waiter { poll })))
+    Ok((Some(parked_connections), Some(ReadinessPoller { poll })))
 }
 
-impl Parking {
-    /// Parks a connection; it is handed to the pool once bytes have come, also
-    /// if they came before.
+impl ParkedConnections {
+    /// Parks a connection until bytes arrive or its timeout passes. Bytes that arrived before
+    /// the call wake it as well.
     pub fn park(&self, connection: Connection) -> std::io::Result<()> {
         let fd = connection.stream.as_raw_fd();
         let token = {
-            let mut parked = self.parked.lock();
-            let token = Token(parked.next);
-            parked.next += 1;
-            parked.connections.insert(token, connection);
+            let mut table = self.table.lock();
+            let token = Token(table.next_token);
+            table.next_token += 1;
+            table.by_token.insert(token, connection);
             token
         };
-        // It is in the table first, so that its event finds it. Nobody else takes
-        // it out before: the sweep looks at what has waited for long.
-        let added = self
+        // The connection is inserted before it is registered, so that its first event finds
+        // it. Nothing must remove it in between; the timeout check removes only connections
+        // that have waited longer than their timeout.
+        let registered = self
             .registry
             .register(&mut SourceFd(&fd), token, Interest::READABLE);
-        if let Err(e) = added {
-            self.parked.lock().connections.remove(&token);
+        if let Err(e) = registered {
+            self.table.lock().by_token.remove(&token);
             return Err(e);
         }
         Ok(())
     }
 
-    fn take(&self, token: Token) -> Option<Connection> {
-        let connection = self.parked.lock().connections.remove(&token)?;
+    /// Removes a connection, if it is still parked.
+    fn unpark(&self, token: Token) -> Option<Connection> {
+        let connection = self.table.lock().by_token.remove(&token)?;
         let fd = connection.stream.as_raw_fd();
         if let Err(e) = self.registry.deregister(&mut SourceFd(&fd)) {
-            log::debug!("a parked connection: {e}");
+            log::debug!(
+                "failed to deregister parked connection {} from the poller: {e}",
+                token.0
+            );
         }
         Some(connection)
     }
 
     fn is_empty(&self) -> bool {
-        self.parked.lock().connections.is_empty()
+        self.table.lock().by_token.is_empty()
     }
 
-    /// Those that have waited too long.
-    fn overdue(&self, open: usize, most: usize) -> Vec<Token> {
+    /// Tokens of connections whose timeout has passed, while `open` of at most
+    /// `max_connections` connections are open.
+    fn timed_out(&self, open: usize, max_connections: usize) -> Vec<Token> {
         let now = Instant::now();
-        let parked = self.parked.lock();
-        let waiting = parked.connections.iter();
-        let overdue = waiting.filter(|(_, c)| c.is_overdue(now, open, most));
-        overdue.map(|(token, _)| *token).collect()
+        let table = self.table.lock();
+        let waiting = table.by_token.iter();
+        let timed_out = waiting.filter(|(_, c)| c.is_timed_out(now, open, max_connections));
+        timed_out.map(|(token, _)| *token).collect()
     }
 }
 
-/// What becomes of connections that are parked no more.
-pub trait Unparked {
-    /// Bytes have come: it is to be served.
-    fn ready(&self, connection: Connection);
-    /// It has waited too long: it is to be closed.
-    fn overdue(&self, connection: Connection);
+/// Receives connections that are no longer parked.
+pub trait UnparkHandler {
+    /// Bytes arrived: the connection must be served.
+    fn on_readable(&self, connection: Connection);
+    /// The timeout passed: the connection must be closed.
+    fn on_timeout(&self, connection: Connection);
 }
 
-impl Waiter {
-    /// Runs for the life of the server.
-    pub fn run(mut self, parking: &Parking, admission: &Admission, unparked: &impl Unparked) {
-        let mut events = Events::with_capacity(EVENTS);
-        let mut swept = Instant::now();
+impl ReadinessPoller {
+    /// Polls until the process ends.
+    pub fn run(
+        mut self,
+        parked_connections: &ParkedConnections,
+        admission: &Admission,
+        handler: &impl UnparkHandler,
+    ) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
+        let mut last_timeout_check = Instant::now();
         loop {
-            self.wait(&mut events, parking.is_empty());
+            self.poll(&mut events, parked_connections.is_empty());
             for event in &events {
-                if let Some(connection) = parking.take(event.token()) {
-                    unparked.ready(connection);
+                if let Some(connection) = parked_connections.unpark(event.token()) {
+                    handler.on_readable(connection);
                 }
             }
-            if swept.elapsed() < SWEEP_INTERVAL {
+            if last_timeout_check.elapsed() < TIMEOUT_CHECK_INTERVAL {
                 continue;
             }
-            swept = Instant::now();
-            let open = admission.gauges().open();
-            for token in parking.overdue(open, admission.limits().connections) {
-                if let Some(connection) = parking.take(token) {
-                    unparked.overdue(connection);
+            last_timeout_check = Instant::now();
+            let open = admission.gauges().open_connections();
+            for token in parked_connections.timed_out(open, admission.limits().connections) {
+                if let Some(connection) = parked_connections.unpark(token) {
+                    handler.on_timeout(connection);
                 }
             }
         }
     }
 
-    fn wait(&mut self, events: &mut Events, nothing_parked: bool) {
-        let timeout = if nothing_parked {
-            EMPTY_WAIT
+    fn poll(&mut self, events: &mut Events, none_parked: bool) {
+        let timeout = if none_parked {
+            IDLE_POLL_TIMEOUT
         } else {
-            SWEEP_INTERVAL
+            TIMEOUT_CHECK_INTERVAL
         };
         if let Err(e) = self.poll.poll(events, Some(timeout)) {
-            log::debug!("waiting for parked connections failed: {e}");
+            log::debug!("failed to poll parked connections: {e}");
         }
     }
 }
--- a/crates/pulleywood-transport/src/server/pool.rs
+++ b/crates/pulleywood-transport/src/server/pool.rs
@@ -1,8 +1,8 @@
-//! The threads that serve connections.
+//! The pool of threads that serve connections.
 
 use super::admission::Admission;
-use super::connection::{Connection, Left};
-use super::parking::{Parking, Unparked};
+use super::connection::{Connection, ServeOutcome};
+use super::parking::{ParkedConnections, UnparkHandler};
 use super::{Handler, http, spawn};
 use parking_lot::{Condvar, Mutex};
 use std::collections::VecDeque;
@@ -11,106 +11,112 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A thread without work ends after this long.
+/// A thread that finds no connection to serve for this long ends.
 const THREAD_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Threads, and the connections that wait for one.
+/// Serves connections with up to [`super::Limits::threads`] threads, started on demand.
 pub struct Pool<H> {
     pub handler: H,
     pub admission: Admission,
-    pub parking: Option<Parking>,
+    /// `None` if there is a thread for each connection.
+    pub parked_connections: Option<ParkedConnections>,
     queue: Mutex<Queue>,
-    /// A connection waits for a thread.
+    /// Notified when a connection is queued.
     connection_queued: Condvar,
 }
 
-/// Connections that wait for a thread.
+/// Connections that wait for a thread, and the number of threads.
 #[derive(Default)]
 pub struct Queue {
     waiting: VecDeque<Connection>,
-    idle: usize,
+    idle_threads: usize,
     threads: usize,
 }
 
 impl<H: Handler> Pool<H> {
-    /// A pool without threads or connections.
-    pub fn new(handler: H, admission: Admission, parking: Option<Parking>) -> Pool<H> {
+    /// Creates a pool without threads or connections.
+    pub fn new(
+        handler: H,
+        admission: Admission,
+        parked_connections: Option<ParkedConnections>,
+    ) -> Pool<H> {
         Pool {
             handler,
             admission,
-            parking,
+            parked_connections,
             queue: Mutex::default(),
             connection_queued: Condvar::new(),
         }
     }
 
-    /// Takes a new connection in, or refuses it.
+    /// Accepts a new connection, or rejects it with 503 if the limit is reached.
     pub fn admit(self: &Arc<Self>, stream: TcpStream) {
         if !self.admission.admit_connection() {
-            http::refuse(stream);
+            http::reject_connection(stream);
             return;
         }
         match Connection::new(stream) {
-            // It may never say anything.
-            Ok(connection) if self.admission.lacks_threads() => self.park(connection),
+            // The client may never send anything, so no thread waits for its first request.
+            Ok(connection) if self.admission.threads_scarce() => self.park(connection),
             Ok(connection) => self.enqueue(connection),
             Err(e) => {
-                log::debug!("a new connection: {e}");
-                self.admission.connection_ended();
+                log::debug!("failed to set the socket options of a new connection: {e}");
+                self.admission.release_connection();
             }
         }
     }
 
-    /// Hands a connection to a thread, to a new one if all are taken and there
-    /// may be more.
+    /// Queues a connection for an idle thread, or for a new one if no thread is idle and the
+    /// limit allows it.
     pub fn enqueue(self: &Arc<Self>, connection: Connection) {
         let mut queue = self.queue.lock();
-        let spare = queue.idle > queue.waiting.len();
+        let thread_available = queue.idle_threads > queue.waiting.len();
         queue.waiting.push_back(connection);
-        let grows = !spare && queue.threads < self.admission.limits().threads;
-        queue.threads += usize::from(grows);
+        let start_thread = !thread_available && queue.threads < self.admission.limits().threads;
+        queue.threads += usize::from(start_thread);
         drop(queue);
-        if !grows {
+        if !start_thread {
             self.connection_queued.notify_one();
             return;
         }
         self.admission.gauges().add_thread();
-        let own = Arc::clone(self);
-        if let Err(e) = spawn("http", move || own.work()) {
-            log::error!("cannot start a thread: {e}");
+        let pool = Arc::clone(self);
+        if let Err(e) = spawn("http", move || pool.run_thread()) {
+            log::error!("failed to start a thread of the HTTP server: {e}");
             self.admission
                 .gauges()
                 .threads
                 .fetch_sub(1, Ordering::Relaxed);
-            // Whatever waits is taken by the next thread that falls idle; a
-            // refusal here keeps it from waiting for ever.
+            // The next thread that becomes idle serves the remaining connections. There may be
+            // none, so one connection is rejected rather than left to wait forever.
             let mut queue = self.queue.lock();
             queue.threads -= 1;
-            let last = queue.waiting.pop_back();
+            let newest = queue.waiting.pop_back();
             drop(queue);
-            if let Some(connection) = last {
-                self.refuse(connection);
+            if let Some(connection) = newest {
+                self.reject(connection);
             }
         }
     }
 
-    fn work(self: Arc<Self>) {
-        while let Some(connection) = self.next() {
+    fn run_thread(self: Arc<Self>) {
+        while let Some(connection) = self.next_connection() {
             match connection.serve(&self.handler, &self.admission) {
-                Ok(Left::Ended) => self.admission.connection_ended(),
-                Ok(Left::Waiting(connection)) => self.park(connection),
+                Ok(ServeOutcome::Closed) => self.admission.release_connection(),
+                Ok(ServeOutcome::Parked(connection)) => self.park(connection),
                 Err(e) => {
-                    log::debug!("connection ended: {e}");
-                    self.admission.connection_ended();
+                    log::debug!("closed a connection: {e}");
+                    self.admission.release_connection();
                 }
             }
         }
     }
 
-    /// The next connection to serve; none if there was none for long.
-    fn next(&self) -> Option<Connection> {
+    /// Waits for a connection to serve. Returns `None` after [`THREAD_IDLE_TIMEOUT`]: the
+    /// calling thread then ends and is no longer counted.
+    fn next_connection(&self) -> Option<Connection> {
         let mut queue = self.queue.lock();
-        queue.idle += 1;
+        queue.idle_threads += 1;
         let mut timed_out = false;
         while queue.waiting.is_empty() && !timed_out {
             timed_out = self
@@ -118,47 +124,48 @@
                 .wait_for(&mut queue, THREAD_IDLE_TIMEOUT)
                 .timed_out();
         }
-        queue.idle -= 1;
-        let next = queue.waiting.pop_front();
-        if next.is_none() {
+        queue.idle_threads -= 1;
+        let connection = queue.waiting.pop_front();
+        if connection.is_none() {
             queue.threads -= 1;
             self.admission
                 .gauges()
                 .threads
                 .fetch_sub(1, Ordering::Relaxed);
         }
-        next
+        connection
     }
 
+    /// Parks a connection, or closes it if that is impossible.
     fn park(&self, connection: Connection) {
-        let Some(parking) = &self.parking else {
-            self.end(connection);
+        let Some(parked_connections) = &self.parked_connections else {
+            self.close(connection);
             return;
         };
-        if let Err(e) = parking.park(connection) {
-            log::debug!("parking a connection: {e}");
-            self.admission.connection_ended();
+        if let Err(e) = parked_connections.park(connection) {
+            log::debug!("failed to park a connection, closed it: {e}");
+            self.admission.release_connection();
         }
     }
 
-    /// Closes a connection.
-    pub fn end(&self, connection: Connection) {
+    /// Closes a connection and frees its slot.
+    pub fn close(&self, connection: Connection) {
         drop(connection);
-        self.admission.connection_ended();
+        self.admission.release_connection();
     }
 
-    fn refuse(&self, connection: Connection) {
-        http::refuse(connection.stream);
-        self.admission.connection_ended();
+    fn reject(&self, connection: Connection) {
+        http::reject_connection(connection.stream);
+        self.admission.release_connection();
     }
 }
 
-impl<H: Handler> Unparked for Arc<Pool<H>> {
-    fn ready(&self, connection: Connection) {
+impl<H: Handler> UnparkHandler for Arc<Pool<H>> {
+    fn on_readable(&self, connection: Connection) {
         self.enqueue(connection);
     }
 
-    fn overdue(&self, connection: Connection) {
-        self.end(connection);
+    fn on_timeout(&self, connection: Connection) {
+        self.close(connection);
     }
 }
--- a/crates/pulleywood-transport/tests/cloud.rs
+++ b/crates/pulleywood-transport/tests/cloud.rs
@@ -67,7 +67,12 @@
             machines,
             requests: Arc::clone(&requests),
         };
-        let server = serve(([127, 0, 0, 1], 0).into(), Limits::thread_each(4), cloud).unwrap();
+        let server = serve(
+            ([127, 0, 0, 1], 0).into(),
+            Limits::thread_per_connection(4),
+            cloud,
+        )
+        .unwrap();
         let rate = 50.0;
         let budget = || Budget::new(rate, 0.0, f64::from(burst) / rate);
         let client = CloudClient::new(server.address, budget(), budget());
--- a/crates/pulleywood-transport/tests/server.rs
+++ b/crates/pulleywood-transport/tests/server.rs
@@ -2,7 +2,7 @@
 //! clients.
 
 use pulleywood_transport::Client;
-use pulleywood_transport::server::{Handler, Limits, Request, Response, Sender, Server, serve};
+use pulleywood_transport::server::{ClientKind, Handler, Limits, Request, Response, Server, serve};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,11 +14,11 @@
 const READY: &str = "/ready";
 const POLL: &str = "/v2/runs/j-1";
 
-fn sender_of(path: &str) -> Sender {
+fn client_kind_of(path: &str) -> ClientKind {
     match path {
-        HEARTBEAT => Sender::Worker,
-        READY => Sender::Probe,
-        _ => Sender::User,
+        HEARTBEAT => ClientKind::Worker,
+        READY => ClientKind::HealthCheck,
+        _ => ClientKind::User,
     }
 }
 
@@ -41,8 +41,8 @@
         }
     }
 
-    fn sender(&self, request: &Request<'_>) -> Sender {
-        sender_of(request.path)
+    fn client_kind(&self, request: &Request<'_>) -> ClientKind {
+        client_kind_of(request.path)
     }
 }
 
@@ -57,8 +57,8 @@
         Response::status(200)
     }
 
-    fn sender(&self, _request: &Request<'_>) -> Sender {
-        Sender::Worker
+    fn client_kind(&self, _request: &Request<'_>) -> ClientKind {
+        ClientKind::Worker
     }
 }
 
@@ -67,14 +67,14 @@
 
 impl Handler for Gate {
     fn handle(&self, request: &Request<'_>) -> Response {
-        while sender_of(request.path) == Sender::User && !self.0.load(Ordering::Relaxed) {
+        while client_kind_of(request.path) == ClientKind::User && !self.0.load(Ordering::Relaxed) {
             std::thread::sleep(Duration::from_millis(5));
         }
         Response::status(200)
     }
 
-    fn sender(&self, request: &Request<'_>) -> Sender {
-        sender_of(request.path)
+    fn client_kind(&self, request: &Request<'_>) -> ClientKind {
+        client_kind_of(request.path)
     }
 }
 
@@ -218,8 +218,11 @@
                 "{limit} {workers}, round {round}"
             );
         }
-        assert!(server.gauges.most_threads() <= threads, "{limit} {workers}");
-        assert!(server.gauges.open() <= limit, "{limit} {workers}");
+        assert!(server.gauges.peak_threads() <= threads, "{limit} {workers}");
+        assert!(
+            server.gauges.open_connections() <= limit,
+            "{limit} {workers}"
+        );
     }
 }
 
@@ -236,17 +239,17 @@
             open.unwrap_or_else(|| panic!("connection {n} was closed"))
         })
         .collect();
-    assert_eq!(server.gauges.open(), KEPT);
+    assert_eq!(server.gauges.open_connections(), KEPT);
     for round in 0..2 {
         for stream in &mut kept {
             let answer = request_on(stream, HEARTBEAT);
             assert!(answer.starts_with("HTTP/1.1 200"), "{round}: {answer}");
         }
     }
-    assert!(server.gauges.most_threads() <= THREADS);
+    assert!(server.gauges.peak_threads() <= THREADS);
     // Closed connections are free for others.
     drop(kept);
-    wait_until("closed", || server.gauges.open() == 0);
+    wait_until("closed", || server.gauges.open_connections() == 0);
 }
 
 #[test]
@@ -271,12 +274,12 @@
                 stream
             })
             .collect();
-        wait_until("all are open", || server.gauges.open() >= 100);
+        wait_until("all are open", || server.gauges.open_connections() >= 100);
         for path in [HEARTBEAT, READY, POLL].into_iter().cycle().take(30) {
             let (others, _) = ask(server.address, path);
             assert!(others.starts_with("HTTP/1.1 200"), "{first:?}: {others}");
         }
-        assert!(server.gauges.most_threads() <= 6, "{first:?}");
+        assert!(server.gauges.peak_threads() <= 6, "{first:?}");
         for stream in slow.iter_mut().take(10) {
             stream.write_all(rest.as_bytes()).unwrap();
             assert!(read_head(stream).starts_with(answer), "{first:?}");
@@ -299,7 +302,7 @@
         // Closed by the server, whether it was parked or on a thread.
         assert!(!matches!(stream.read(&mut byte), Ok(1)));
     }
-    wait_until("closed", || server.gauges.open() == 0);
+    wait_until("closed", || server.gauges.open_connections() == 0);
 }
 
 #[test]
@@ -334,7 +337,7 @@
     let refused = answers.iter().filter(|a| a.starts_with("HTTP/1.1 503"));
     assert!(refused.clone().all(|a| a.contains("Retry-After: 1")));
     assert_eq!(refused.count(), 20 - THREADS * 3 / 4);
-    assert!(server.gauges.most_threads() <= THREADS);
+    assert!(server.gauges.peak_threads() <= THREADS);
 }
 
 #[test]
@@ -351,7 +354,7 @@
             assert!(answer.starts_with("HTTP/1.1 503"), "{limit}: {answer}");
             assert!(answer.contains("Retry-After: 1"), "{limit}: {answer}");
         }
-        assert_eq!(server.gauges.open(), limit);
+        assert_eq!(server.gauges.open_connections(), limit);
         for stream in &mut all[..limit] {
             let answer = request_on(stream, HEARTBEAT);
             assert!(answer.starts_with("HTTP/1.1 200"), "{limit}: {answer}");
