--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -12,7 +12,7 @@
 /// the first read.
 pub fn ready(context: &ControllerContext) -> Response {
     let now = context.clock.now();
-    let store_answers = context.store.answers();
+    let store_answers = context.store.is_available();
     let controller = context.controller.lock();
     let started = controller.is_cached
         && controller.cached.layout.is_some()
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -53,7 +53,7 @@
     let after = before_final_key(id);
     let page = context
         .store
-        .slice(RequestPriority::Question, CLOSED, &after, NEIGHBOURS)?;
+        .list_after(RequestPriority::UserRead, CLOSED, &after, NEIGHBOURS)?;
     let beyond = !page.more || page.items.last().is_some_and(|last| last.path >= key);
     let mut finals = context.finals.lock();
     for item in &page.items {
@@ -71,7 +71,7 @@
         return Ok(None);
     }
     // Longer ids with the same beginning come before it.
-    let Some(item) = context.store.get(RequestPriority::Question, &key)? else {
+    let Some(item) = context.store.get(RequestPriority::UserRead, &key)? else {
         return Ok(None);
     };
     let state: Option<FinalRecord> = read(Some(&item.value), &key);
--- a/crates/pulleywood-controller/src/api/peers.rs
+++ b/crates/pulleywood-controller/src/api/peers.rs
@@ -18,7 +18,7 @@
             PeerResponse::Accepted
         }
         PeerRequest::BorrowWriteTokens => {
-            PeerResponse::WriteTokens(context.store.budget().transfer_writes())
+            PeerResponse::WriteTokens(context.store.budget().take_spare_write_tokens())
         }
         PeerRequest::MoveMachines(..)
         | PeerRequest::DrainMachines(..)
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -74,7 +74,7 @@
         WaitOutcome::Full | WaitOutcome::NotTaken => SubmissionOutcome::Refused(refused),
         // Its transaction is under way; the user's retry will find the outcome.
         WaitOutcome::Pending => {
-            SubmissionOutcome::Refused(StoreError::Unknown("no answer yet".into()))
+            SubmissionOutcome::Refused(StoreError::OutcomeUnknown("no answer yet".into()))
         }
     }
 }
@@ -118,16 +118,16 @@
         submissions.wait();
         // Submissions that come until there are tokens share the transaction. One alone
         // needs no job batch, which is two writes.
-        let mut tokens = context.store.take(RequestPriority::JobBatch, 1);
+        let mut tokens = context.store.take_tokens(RequestPriority::JobBatch, 1);
         let several = submissions.len() > 1;
         if several && tokens.is_ok() {
-            tokens = context.store.take(RequestPriority::JobBatch, 1);
+            tokens = context.store.take_tokens(RequestPriority::JobBatch, 1);
         }
         let mut waiting = submissions.take(usize::MAX);
         if tokens.is_ok() && !several {
             match waiting.len() {
                 1 => waiting = write_alone(context, waiting),
-                _ => tokens = context.store.take(RequestPriority::JobBatch, 1),
+                _ => tokens = context.store.take_tokens(RequestPriority::JobBatch, 1),
             }
         }
         match tokens {
@@ -166,7 +166,7 @@
         if matches!(outcome, SubmissionOutcome::Refused(StoreError::Budget(_)))
             && context
                 .store
-                .take(RequestPriority::JobBatch, WRITES)
+                .take_tokens(RequestPriority::JobBatch, WRITES)
                 .is_ok()
         {
             return waiting;
@@ -190,7 +190,7 @@
         }
         if attempt > 0
             && let Err(StoreError::Budget(wait)) =
-                context.store.take(RequestPriority::JobBatch, WRITES)
+                context.store.take_tokens(RequestPriority::JobBatch, WRITES)
         {
             return refuse(context, waiting, wait);
         }
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -181,7 +181,7 @@
     // At a burst, work of lower rank leaves the tokens to what comes before it.
     let priority = match record.spec.rank {
         Rank::Production | Rank::Urgent => RequestPriority::User,
-        Rank::Standard | Rank::Idle => RequestPriority::Later,
+        Rank::Standard | Rank::Idle => RequestPriority::LowRankSubmission,
     };
     let head = {
         let controller = context.controller.lock();
@@ -190,7 +190,7 @@
         }
         controller.cached.job_batch_head.revision
     };
-    match context.store.take(priority, 1) {
+    match context.store.take_tokens(priority, 1) {
         Ok(()) => accept_alone(context, shard, record, head),
         Err(e) => SubmissionOutcome::Refused(e),
     }
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -7,7 +7,7 @@
 use pulleywood_protocol::time::secs;
 use pulleywood_protocol::{MachineId, MonotonicTime};
 use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot};
-use pulleywood_transport::cloud::Listing;
+use pulleywood_transport::cloud::RentalListing;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// Rental requests named under the lease's fencing token.
     rental_requests: u64,
     /// The next list, as far as it was read.
-    listing: Listing,
+    listing: RentalListing,
     listed_at: Option<MonotonicTime>,
 }
 
@@ -51,7 +51,7 @@
             list: Vec::new(),
             released: HashMap::new(),
             rental_requests,
-            listing: Listing::default(),
+            listing: RentalListing::default(),
             listed_at: None,
         }
     }
@@ -70,7 +70,7 @@
         {
             return;
         }
-        match context.cloud.rentals(&mut self.listing) {
+        match context.cloud.read_rentals(&mut self.listing) {
             Ok(Some(list)) => {
                 self.list = list;
                 self.listed_at = Some(now);
--- a/crates/pulleywood-controller/src/coordinator/mod.rs
+++ b/crates/pulleywood-controller/src/coordinator/mod.rs
@@ -61,7 +61,7 @@
                     "acquired the coordinator lease with fencing token {}",
                     lease.fencing_token
                 );
-                context.cloud.become_coordinator();
+                context.cloud.drain_coordinator_budget();
                 self.acting = true;
                 Fleet::new(former, lease)
             }
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -107,7 +107,7 @@
             log::info!("found no capacity for {kind:?}");
             fleet.history.refused(&kind, now);
         }
-        Err(CloudError::Unknown(e)) => {
+        Err(CloudError::OutcomeUnknown(e)) => {
             log::debug!("got no answer to rental request {}: {e}", request.name);
             fleet.pending.push(request);
         }
--- a/crates/pulleywood-controller/src/coordinator/requests.rs
+++ b/crates/pulleywood-controller/src/coordinator/requests.rs
@@ -37,7 +37,7 @@
         return;
     }
     if let Some(peer) = context.peers.get(&leader)
-        && let Err(e) = peer.ask(&request, RESPONSE_TIMEOUT)
+        && let Err(e) = peer.call(&request, RESPONSE_TIMEOUT)
     {
         log::debug!("failed to ask {leader}, the leader of shard {shard}: {e}");
     }
--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -16,7 +16,7 @@
 use pulleywood_recovery::{Reconciliation, reconcile};
 use pulleywood_scheduler::Config;
 use pulleywood_scheduler::config::Policy;
-use pulleywood_transport::cloud::{self, Listing};
+use pulleywood_transport::cloud::{self, RentalListing};
 use pulleywood_transport::{Budget, CloudClient, RequestPriority, StoreClient, StoreError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -148,10 +148,10 @@
 
 /// Reads the machine list, page by page.
 fn read_rentals(client: &CloudClient) -> Option<Vec<Rental>> {
-    let mut listing = Listing::default();
+    let mut listing = RentalListing::default();
     let mut tries = 0;
     loop {
-        match client.rentals(&mut listing) {
+        match client.read_rentals(&mut listing) {
             Ok(Some(list)) => return Some(list),
             Ok(None) => {}
             Err(e) if tries == TRIES => {
@@ -184,7 +184,7 @@
                     let Ok(addr) = record.endpoint.parse() else {
                         continue;
                     };
-                    match cloud::show(addr, WORKER_TIMEOUT) {
+                    match cloud::fetch_heartbeat(addr, WORKER_TIMEOUT) {
                         Ok(heartbeat) if heartbeat.machine == *id => {
                             let fencing_token = present_fencing_token(stored, record);
                             let current = heartbeat.fencing_token >= fencing_token;
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -28,7 +28,7 @@
         std::thread::sleep(DIGEST_EVERY.mul_f64(0.85 + 0.3 * fastrand::f64()));
         let digest = PeerRequest::Digest(Box::new(context.digest()));
         let sent = context.clock.now();
-        match client.ask(&digest, RESPONSE_TIMEOUT) {
+        match client.call(&digest, RESPONSE_TIMEOUT) {
             Ok(PeerResponse::Serving(serving)) => {
                 let now = context.clock.now();
                 context.controller.lock().confirm(peer, sent, now, &serving);
@@ -47,12 +47,12 @@
     loop {
         for peer in context.peers.values() {
             std::thread::sleep(BORROW_EVERY);
-            if !context.store.budget().is_short() {
+            if !context.store.budget().is_short_of_writes() {
                 continue;
             }
-            match peer.ask(&PeerRequest::BorrowWriteTokens, RESPONSE_TIMEOUT) {
+            match peer.call(&PeerRequest::BorrowWriteTokens, RESPONSE_TIMEOUT) {
                 // Tokens are lost if the response is: never counted twice.
-                Ok(PeerResponse::WriteTokens(n)) => context.store.budget().add_writes(n),
+                Ok(PeerResponse::WriteTokens(n)) => context.store.budget().add_write_tokens(n),
                 Ok(_) => {}
                 Err(e) => log::debug!("failed to borrow write tokens: {e}"),
             }
@@ -71,7 +71,7 @@
         let jobs = context.cancelling.take_all();
         for leader in fresh_leaders(context) {
             if let Some(peer) = context.peers.get(&leader)
-                && let Err(e) = peer.ask(
+                && let Err(e) = peer.call(
                     &PeerRequest::NoteCancellations(jobs.clone()),
                     NOTICE_TIMEOUT,
                 )
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -33,7 +33,7 @@
             return Ok(());
         };
         let passes = self.audit.counts().passes;
-        let page = context.store.slice(
+        let page = context.store.list_after(
             RequestPriority::Housekeeping,
             next.prefix,
             &next.after,
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -51,7 +51,7 @@
         None => Some(context.store.grant_lease(ttl)?),
         Some(lease_id) => {
             let timeout = (ttl / 3).min(RENEWAL_TIMEOUT);
-            context.store.renew(lease_id, timeout)?;
+            context.store.renew_lease(lease_id, timeout)?;
             None
         }
     };
@@ -122,5 +122,5 @@
     let holder = read::<LeaseHolder>(Some(&item.value), key);
     let former = holder.is_some_and(|holder| is_former_process(context, &holder));
     let lease_id: Option<LeaseId> = item.lease_id.filter(|_| former);
-    lease_id.map_or(Ok(()), |lease_id| context.store.end(lease_id))
+    lease_id.map_or(Ok(()), |lease_id| context.store.revoke_lease(lease_id))
 }
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -149,7 +149,7 @@
                 std::thread::sleep(Duration::from_millis(fastrand::u64(5..60)));
                 Ok(AcquireOutcome::NotAcquired)
             }
-            Err(StoreError::Unknown(_)) => self.read_outcome(context),
+            Err(StoreError::OutcomeUnknown(_)) => self.read_outcome(context),
             Err(e) => Err(e),
         }
     }
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -100,7 +100,7 @@
         incarnation,
         commands: Vec::new(),
     };
-    match cloud::direct(address, &command, REPLY_TIMEOUT) {
+    match cloud::send_direct_command(address, &command, REPLY_TIMEOUT) {
         Ok((true, heartbeat)) if heartbeat.machine == *machine => Reply::Accepted(heartbeat),
         Ok((true, _)) => Reply::Ignored,
         Ok((false, heartbeat)) if heartbeat.incarnation != incarnation => {
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -85,7 +85,7 @@
     let due = loaded.filter_map(|(shard, led)| {
         let urgent = led.state.has_batch(now, &config)?;
         let priority = if urgent {
-            RequestPriority::Done
+            RequestPriority::JobCompletion
         } else {
             RequestPriority::Housekeeping
         };
@@ -180,7 +180,9 @@
     };
     match context.store.commit(priority, &prepared.batch.transaction) {
         Ok(Outcome::Applied(revision)) => prepared.apply(context, revision, now),
-        Ok(Outcome::Conflict) | Err(StoreError::Unknown(_)) => prepared.refresh_jobs(context),
+        Ok(Outcome::Conflict) | Err(StoreError::OutcomeUnknown(_)) => {
+            prepared.refresh_jobs(context)
+        }
         Err(e) => log::debug!("failed to write a done batch of shard {shard}: {e}"),
     }
 }
--- a/crates/pulleywood-controller/src/shard/hand_over.rs
+++ b/crates/pulleywood-controller/src/shard/hand_over.rs
@@ -24,7 +24,7 @@
         }
         // Without an answer the key may be gone: a shard without a leader is better than
         // one with two.
-        Ok(Outcome::Conflict) | Err(StoreError::Unknown(_)) => {
+        Ok(Outcome::Conflict) | Err(StoreError::OutcomeUnknown(_)) => {
             controller.led_shards.remove(&shard);
         }
         Err(_) => {
--- a/crates/pulleywood-controller/src/shard/load.rs
+++ b/crates/pulleywood-controller/src/shard/load.rs
@@ -52,7 +52,7 @@
     loop {
         match read_records(context) {
             Ok(records) => return Some(records),
-            Err(StoreError::TooOld) => return None,
+            Err(StoreError::RevisionTooOld) => return None,
             Err(e) => {
                 log::debug!("failed to read shard {shard}: {e}");
                 std::thread::sleep(RETRY_PAUSE);
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -100,7 +100,9 @@
         context.registrations.wait();
         std::thread::sleep(GATHER);
         // Machines that come until there are tokens share the transaction.
-        let tokens = context.store.take(RequestPriority::Record, WRITES);
+        let tokens = context
+            .store
+            .take_tokens(RequestPriority::MachineRecord, WRITES);
         let most = context.controller.lock().config.machines_per_batch();
         let waiting = context.registrations.take(most);
         match tokens {
@@ -128,7 +130,12 @@
 fn write_machine_batch(context: &Arc<ControllerContext>, mut waiting: WaitingMachines) {
     for attempt in 0..ATTEMPTS {
         refresh_machine_batches(context);
-        if attempt > 0 && context.store.take(RequestPriority::Record, WRITES).is_err() {
+        if attempt > 0
+            && context
+                .store
+                .take_tokens(RequestPriority::MachineRecord, WRITES)
+                .is_err()
+        {
             break;
         }
         let Ok(fresh) = fresh_fencing_token(context, &waiting) else {
@@ -159,7 +166,7 @@
 /// Other controllers write machine batches too; a transaction that rests on an old head
 /// is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::changes(context, RequestPriority::Record, Duration::ZERO) {
+    if let Err(e) = watch::changes(context, RequestPriority::MachineRecord, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -138,7 +138,7 @@
         }
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
             match outcome {
-                Err(StoreError::Unknown(_)) => led.state.doubt_offer(&self.id),
+                Err(StoreError::OutcomeUnknown(_)) => led.state.doubt_offer(&self.id),
                 // Not applied, and never will be.
                 _ => led.state.withdraw_offer(&self.id),
             }
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -96,7 +96,7 @@
     /// The digest this controller sends.
     pub fn digest(&self) -> Digest {
         let now = self.clock.now();
-        let state_ok = self.store.answers();
+        let state_ok = self.store.is_available();
         let mut controller = self.controller.lock();
         Digest {
             member: self.controller_id.clone(),
--- a/crates/pulleywood-controller/src/state/linearizable_reads.rs
+++ b/crates/pulleywood-controller/src/state/linearizable_reads.rs
@@ -51,7 +51,7 @@
                 .wait_until(&mut state, deadline)
                 .timed_out()
             {
-                return Err(StoreError::Unknown("no read in time".into()));
+                return Err(StoreError::OutcomeUnknown("no read in time".into()));
             }
         }
     }
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -23,18 +23,18 @@
     let reads = &context.linearizable_reads;
     loop {
         let newest = reads.next_read();
-        let result = changes(context, RequestPriority::Question, Duration::ZERO);
+        let result = changes(context, RequestPriority::UserRead, Duration::ZERO);
         if let Err(e) = &result {
             log::debug!("failed to read changes for users: {e}");
         }
         reads.finish_read(newest, result.as_ref().map(|_| ()));
-        std::thread::sleep(context.poll_intervals.question);
+        std::thread::sleep(context.poll_intervals.user_read);
     }
 }
 
 /// Reads the changes since the cached state's revision and applies them, so that it is
 /// newer than this call. `wait`: how long the store waits for a change if there is
-/// none. Returns whether anything changed; [`StoreError::TooOld`] if all keys must be
+/// none. Returns whether anything changed; [`StoreError::RevisionTooOld`] if all keys must be
 /// read anew.
 pub fn changes(
     context: &Arc<ControllerContext>,
@@ -44,7 +44,7 @@
     let from = {
         let controller = context.controller.lock();
         if !controller.is_cached {
-            return Err(StoreError::TooOld);
+            return Err(StoreError::RevisionTooOld);
         }
         controller.cached.store_revision
     };
@@ -93,7 +93,7 @@
             // Changes gather before the next one: a bound on requests.
             Ok(true) => std::thread::sleep(context.poll_intervals.watch),
             Ok(false) => {}
-            Err(StoreError::TooOld) => {
+            Err(StoreError::RevisionTooOld) => {
                 log::debug!("reading all watched keys");
                 if let Err(e) = reread(context) {
                     log::debug!("failed to read the watched keys: {e}");
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -15,7 +15,7 @@
 use pulleywood_protocol::{FencingToken, JobId, JobSpec, MachineId, ShardId, TaskId};
 use pulleywood_testkit::history::{Expected, check};
 use pulleywood_testkit::samples;
-use pulleywood_transport::cloud::show;
+use pulleywood_transport::cloud::fetch_heartbeat;
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
 use std::time::Duration;
@@ -112,7 +112,9 @@
         .flat_map(|batch| MachineBatchRecord::from_value(batch).unwrap().machines);
     let shown = records.map(|(_, record)| {
         let address = record.endpoint.parse().unwrap();
-        show(address, Duration::from_secs(5)).unwrap().fencing_token
+        fetch_heartbeat(address, Duration::from_secs(5))
+            .unwrap()
+            .fencing_token
     });
     shown.max().unwrap()
 }
--- a/crates/pulleywood-transport/src/budget.rs
+++ b/crates/pulleywood-transport/src/budget.rs
@@ -1,285 +1,320 @@
-//! Token buckets for calls to the state service and the cloud.
+//! Token buckets that limit the requests to the state service and the cloud.
 //!
-//! Each controller holds a share of the published rates, bursts included, so
-//! that the sum over controllers stays within them whatever each one does.
+//! Each controller has a share of the published rates, bursts included, so that all controllers
+//! together stay within the rates without coordination.
 
 use parking_lot::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Priority of a request. Earlier variants may use tokens that later ones must leave.
+/// Priority of a request, highest first. A request must leave a part of the bucket, which grows
+/// from variant to variant, to requests of higher priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// Lease renewals and failovers. Tokens that they need beyond one become a debt, since
-    /// the shards of a restarted controller cannot wait.
+    /// Lease renewals and failovers. A write needs only one available token and takes the
+    /// others as a debt, since the shards of a restarted controller cannot wait.
     Lease,
     /// Other writes and reads of a shard's leader or the coordinator.
     ShardLeader,
-    /// Job batches of submissions: two writes accept many.
+    /// Batches of submitted jobs: two writes accept many jobs.
     JobBatch,
-    /// Users' requests.
+    /// Submissions of high rank, cancellations, and reads of the cloud's list of machines.
     User,
-    /// Reads for users' questions. Most wait a moment for the tokens of their
-    /// own share.
-    Question,
-    /// Machines' records, which launches wait for: a wave of new machines must
-    /// not refuse the few users that come meanwhile.
-    Record,
-    /// Jobs that are done: their users ask for it some seconds later.
-    Done,
-    /// Users' submissions of work that others come before.
-    Later,
-    /// Everything that can wait.
+    /// Reads that answer users' status requests. Most of them wait briefly for tokens.
+    UserRead,
+    /// Machine records, which launches wait for. Their priority is below that of users, so that
+    /// a wave of new machines does not cause the few users of that time to be refused.
+    MachineRecord,
+    /// Records of jobs that are done. Their users ask for the result some seconds later.
+    JobCompletion,
+    /// Submissions of low rank.
+    LowRankSubmission,
+    /// Requests that can be delayed for as long as necessary.
     Housekeeping,
 }
 
 impl RequestPriority {
-    /// Share of the bucket that must remain after a request of this priority.
-    fn reserve(self) -> f64 {
+    /// Fraction of the bucket that a request of this priority must leave.
+    fn reserved_fraction(self) -> f64 {
         match self {
             RequestPriority::Lease => 0.0,
             RequestPriority::ShardLeader | RequestPriority::JobBatch => 0.05,
-            RequestPriority::User | RequestPriority::Question => 0.1,
-            RequestPriority::Record => 0.2,
-            RequestPriority::Done => 0.25,
-            RequestPriority::Later => 0.3,
+            RequestPriority::User | RequestPriority::UserRead => 0.1,
+            RequestPriority::MachineRecord => 0.2,
+            RequestPriority::JobCompletion => 0.25,
+            RequestPriority::LowRankSubmission => 0.3,
             RequestPriority::Housekeeping => 0.4,
         }
     }
 }
 
-/// Least time between the requests to the store that repeat for ever, the watch and the
-/// reads for users. It follows from a controller's share of the rate, so that enough of
-/// the share is left for leases and writes.
+/// Minimum intervals between the store requests that a controller repeats as long as it runs:
+/// the watch, and the reads that answer users. They follow from the controller's share of the
+/// rate, so that enough of the share is left for leases and writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PollIntervals {
-    /// From the end of a watch that brought something to the next one.
+    /// From the end of a watch that returned events to the next one; at least 150 ms.
     pub watch: Duration,
-    /// From a read made for users' questions to the next one, which those that
-    /// come meanwhile share.
-    pub question: Duration,
+    /// From one read for users to the next; at least 100 ms. Users who ask in between share the
+    /// next read.
+    pub user_read: Duration,
 }
 
 impl PollIntervals {
-    /// The share of the rate that each of the two may take.
-    pub const SHARE: f64 = 0.3;
+    /// Maximum fraction of the controller's rate for the watch, and for the reads likewise.
+    pub const MAX_RATE_FRACTION: f64 = 0.3;
 
-    /// For a controller that may send `rps` requests a second.
+    /// Computes the intervals of a controller that may send `rps` requests per second.
     pub fn new(rps: f64) -> PollIntervals {
-        let gap = Duration::from_secs_f64(1.0 / (rps * Self::SHARE).max(0.1));
+        let interval = Duration::from_secs_f64(1.0 / (rps * Self::MAX_RATE_FRACTION).max(0.1));
         PollIntervals {
-            watch: gap.max(Duration::from_millis(150)),
-            question: gap.max(Duration::from_millis(100)),
+            watch: interval.max(Duration::from_millis(150)),
+            user_read: interval.max(Duration::from_millis(100)),
         }
     }
 }
 
 impl RequestPriority {
-    /// How long a request of this priority waits for tokens before it is given up.
-    pub fn patience(self) -> Duration {
+    /// How long a request of this priority waits for tokens before it fails; zero if it does
+    /// not wait.
+    pub fn max_wait(self) -> Duration {
         match self {
-            RequestPriority::Lease | RequestPriority::ShardLeader | RequestPriority::Record => {
-                Duration::from_secs(3)
-            }
-            RequestPriority::User | RequestPriority::Later => Duration::ZERO,
+            RequestPriority::Lease
+            | RequestPriority::ShardLeader
+            | RequestPriority::MachineRecord => Duration::from_secs(3),
+            RequestPriority::User | RequestPriority::LowRankSubmission => Duration::ZERO,
             RequestPriority::JobBatch => Duration::from_millis(600),
-            // Their users wait for two seconds.
-            RequestPriority::Question => Duration::from_millis(900),
-            RequestPriority::Done | RequestPriority::Housekeeping => Duration::from_secs(1),
+            // Users wait 2 s for their response.
+            RequestPriority::UserRead => Duration::from_millis(900),
+            RequestPriority::JobCompletion | RequestPriority::Housekeeping => {
+                Duration::from_secs(1)
+            }
         }
     }
 }
 
-/// Tokens that a call waits for. Without it, calls that need one token would take each as
-/// it comes, and a call that needs two would never find both.
+/// Tokens reserved for a request that waits for them. Without reservations, requests that need
+/// one token would take each as it is added, and a request that needs two would never get buckets.
 #[derive(Debug, Clone, Copy)]
-struct Claim {
-    class: RequestPriority,
+struct Reservation {
+    priority: RequestPriority,
+    /// Write tokens that the request needs, besides one request token.
     writes: f64,
+    /// When the request first asked for tokens.
     since: Instant,
-    until: Instant,
+    /// When the reservation expires unless the request tries again.
+    expires: Instant,
 }
 
-impl Claim {
-    /// A call that is waited for comes back within this time.
-    const KEPT: Duration = Duration::from_millis(500);
-    /// One that has waited this long comes before all others but leases.
-    const AGED: Duration = Duration::from_secs(2);
+impl Reservation {
+    /// How long a reservation is kept after the request was expected to try again. A request
+    /// that has not done so by then has been given up.
+    const RETRY_GRACE: Duration = Duration::from_millis(500);
+    /// A request that has waited for this long has precedence over all others but leases, so
+    /// that it is not starved by a higher priority.
+    const AGING_THRESHOLD: Duration = Duration::from_secs(2);
 
-    /// Whether a call of a class must leave it its tokens.
-    fn precedes(&self, class: RequestPriority, since: Instant, now: Instant) -> bool {
-        let aged = |at: Instant| now.saturating_duration_since(at) >= Self::AGED;
-        match (class, aged(self.since), aged(since)) {
+    /// Whether a request of `priority` that has waited since `since` must leave the reserved
+    /// tokens.
+    fn precedes(&self, priority: RequestPriority, since: Instant, now: Instant) -> bool {
+        let aged = |at: Instant| now.saturating_duration_since(at) >= Self::AGING_THRESHOLD;
+        match (priority, aged(self.since), aged(since)) {
             (RequestPriority::Lease, ..) => false,
-            _ if self.class == class => false,
+            _ if self.priority == priority => false,
             (_, true, false) => true,
             (_, false, true) => false,
             (_, true, true) => self.since < since,
-            (_, false, false) => self.class < class,
+            (_, false, false) => self.priority < priority,
         }
     }
 }
 
+/// A token bucket. Its tokens may become negative: a debt that is paid off as it refills.
 #[derive(Debug)]
 struct Bucket {
+    /// Tokens added per second.
     rate: f64,
+    /// Maximum number of tokens.
     burst: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl Bucket {
-    /// Starts three quarters full: a process that restarts often must not bring a whole
-    /// burst with it each time.
+    /// Creates a bucket that is three quarters full: a process that restarts often must not get
+    /// a whole burst each time.
     fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
         Self {
             rate,
             burst,
             tokens: (burst * 0.75).max(1.0),
-            filled: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
-    fn fill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.burst);
-        self.filled = now;
+    fn refill(&mut self, now: Instant) {
+        let elapsed_s = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.burst);
+        self.refilled_at = now;
     }
 
-    /// Time until `n` tokens can be taken; none if they can be now. A call
-    /// larger than the bucket waits until it is full and leaves a debt: if it
-    /// had to wait for more than the bucket holds, it would wait for ever.
-    /// `claimed`: tokens that must remain for calls which come before.
-    fn lacks(&self, n: f64, reserve: f64, claimed: f64) -> Option<Duration> {
-        let need = (n + reserve * self.burst).min(self.burst);
-        let need = need.max(n.min(self.burst) + claimed.min(self.burst));
-        (self.tokens < need)
-            .then(|| Duration::from_secs_f64(((need - self.tokens) / self.rate).min(60.0)))
+    /// Time until `count` tokens can be taken; `None` if they can be taken now. The fraction
+    /// `reserved_fraction` of the bucket and the tokens of `reservations` must remain. A request
+    /// for more tokens than the bucket holds waits until it is full and leaves a debt, since it
+    /// would wait forever for tokens that never fit into the bucket.
+    fn time_until_available(
+        &self,
+        count: f64,
+        reserved_fraction: f64,
+        reservations: f64,
+    ) -> Option<Duration> {
+        let needed = (count + reserved_fraction * self.burst).min(self.burst);
+        let needed = needed.max(count.min(self.burst) + reservations.min(self.burst));
+        (self.tokens < needed)
+            .then(|| Duration::from_secs_f64(((needed - self.tokens) / self.rate).min(60.0)))
     }
 }
 
-/// A budget of requests, and of writes among them.
+/// Limits the rate of requests, and of the writes that they contain.
 #[derive(Debug)]
 pub struct Budget {
+    /// (requests, writes)
     buckets: Mutex<(Bucket, Bucket)>,
-    claims: Mutex<Vec<Claim>>,
-    short: AtomicBool,
+    reservations: Mutex<Vec<Reservation>>,
+    short_of_writes: AtomicBool,
 }
 
 impl Budget {
-    /// A share of `rps` requests and `write_rps` writes a second with bursts
-    /// of `burst_s` seconds' worth.
+    /// Creates a budget of `rps` requests and `write_rps` writes per second. A burst may contain
+    /// as many as `burst_s` seconds allow.
     pub fn new(rps: f64, write_rps: f64, burst_s: f64) -> Self {
         Self {
             buckets: Mutex::new((
                 Bucket::new(rps, rps * burst_s),
                 Bucket::new(write_rps, write_rps * burst_s),
             )),
-            claims: Mutex::default(),
-            short: AtomicBool::new(false),
+            reservations: Mutex::default(),
+            short_of_writes: AtomicBool::new(false),
         }
     }
 
-    /// Whether the last call that writes found too few tokens.
-    pub fn is_short(&self) -> bool {
-        self.short.load(Ordering::Relaxed)
+    /// Whether the last request that contains writes found too few tokens.
+    pub fn is_short_of_writes(&self) -> bool {
+        self.short_of_writes.load(Ordering::Relaxed)
     }
 
-    /// Gives another controller up to half of a full bucket of write tokens,
-    /// as far as there are more here than that. The sum over controllers stays
-    /// what it was.
-    pub fn transfer_writes(&self) -> u32 {
-        let mut both = self.buckets.lock();
-        both.1.fill(Instant::now());
-        let spare = (both.1.tokens - both.1.burst / 2.0).floor().max(0.0);
-        both.1.tokens -= spare;
+    /// Takes the write tokens beyond half of a full bucket, to give them to another controller.
+    /// Returns their number. The total over all controllers is unchanged.
+    pub fn take_spare_write_tokens(&self) -> u32 {
+        let mut buckets = self.buckets.lock();
+        buckets.1.refill(Instant::now());
+        let spare = (buckets.1.tokens - buckets.1.burst / 2.0).floor().max(0.0);
+        buckets.1.tokens -= spare;
         spare as u32
     }
 
-    /// Adds write tokens that another controller gave.
-    pub fn add_writes(&self, tokens: u32) {
-        let mut both = self.buckets.lock();
-        both.1.fill(Instant::now());
-        both.1.tokens = (both.1.tokens + f64::from(tokens)).min(both.1.burst);
-        self.short.store(false, Ordering::Relaxed);
+    /// Adds write tokens that another controller gave away, up to a full bucket.
+    pub fn add_write_tokens(&self, tokens: u32) {
+        let mut buckets = self.buckets.lock();
+        buckets.1.refill(Instant::now());
+        buckets.1.tokens = (buckets.1.tokens + f64::from(tokens)).min(buckets.1.burst);
+        self.short_of_writes.store(false, Ordering::Relaxed);
     }
 
-    /// Most writes that one call should hold so that it need not wait for a
-    /// full bucket.
+    /// Maximum number of writes that a request should contain, so that it need not wait for a
+    /// full bucket; at least 1.
     pub fn preferred_writes(&self) -> usize {
         (self.buckets.lock().1.burst * 0.7).max(1.0) as usize
     }
 
-    /// Leaves a single token of each kind.
-    pub fn empty(&self) {
-        let mut both = self.buckets.lock();
-        both.0.tokens = both.0.tokens.min(1.0);
-        both.1.tokens = both.1.tokens.min(1.0);
+    /// Removes all tokens but one of each bucket.
+    pub fn drain(&self) {
+        let mut buckets = self.buckets.lock();
+        buckets.0.tokens = buckets.0.tokens.min(1.0);
+        buckets.1.tokens = buckets.1.tokens.min(1.0);
     }
 
-    /// Takes one request with `writes` writes, or says how long to wait.
+    /// Takes the tokens of one request that contains `writes` writes.
     ///
     /// # Errors
     ///
-    /// How long to wait until there may be enough tokens.
-    pub fn take(&self, class: RequestPriority, writes: u32) -> Result<(), Duration> {
-        self.take_at(Instant::now(), class, writes)
+    /// Returns the time after which there may be enough tokens. Unless the priority does not
+    /// wait, the tokens are then reserved for a while for the same priority and number of writes.
+    pub fn take(&self, priority: RequestPriority, writes: u32) -> Result<(), Duration> {
+        self.take_at(Instant::now(), priority, writes)
     }
 
-    /// As [`Budget::take`], at a given time.
+    /// Like [`Budget::take`], at a given time.
     ///
     /// # Errors
     ///
-    /// How long to wait until there may be enough tokens.
+    /// Like [`Budget::take`].
     pub fn take_at(
         &self,
         now: Instant,
-        class: RequestPriority,
+        priority: RequestPriority,
         writes: u32,
     ) -> Result<(), Duration> {
-        let mut both = self.buckets.lock();
-        both.0.fill(now);
-        both.1.fill(now);
+        let mut buckets = self.buckets.lock();
+        buckets.0.refill(now);
+        buckets.1.refill(now);
         let writes = f64::from(writes);
-        let mut claims = self.claims.lock();
-        claims.retain(|c| c.until > now);
-        let own = claims
+        let mut reservations = self.reservations.lock();
+        reservations.retain(|r| r.expires > now);
+        let own = reservations
             .iter()
-            .position(|c| c.class == class && c.writes == writes);
-        let since = own.map_or(now, |at| claims[at].since);
-        let before = claims.iter().filter(|c| c.precedes(class, since, now));
-        let (requests, claimed) = before.fold((0.0, 0.0), |(r, w), c| (r + 1.0, w + c.writes));
-        let reserve = if now.saturating_duration_since(since) >= Claim::AGED {
-            class.reserve().min(RequestPriority::ShardLeader.reserve())
-        } else {
-            class.reserve()
-        };
-        let mut wait = both.0.lacks(1.0, reserve, requests);
+            .position(|r| r.priority == priority && r.writes == writes);
+        let since = own.map_or(now, |index| reservations[index].since);
+        let preceding = reservations
+            .iter()
+            .filter(|r| r.precedes(priority, since, now));
+        let (reserved_requests, reserved_writes) = preceding
+            .fold((0.0, 0.0), |(requests, writes), r| {
+                (requests + 1.0, writes + r.writes)
+            });
+        let reserved_fraction =
+            if now.saturating_duration_since(since) >= Reservation::AGING_THRESHOLD {
+                priority
+                    .reserved_fraction()
+                    .min(RequestPriority::ShardLeader.reserved_fraction())
+            } else {
+                priority.reserved_fraction()
+            };
+        let mut wait = buckets
+            .0
+            .time_until_available(1.0, reserved_fraction, reserved_requests);
         if writes > 0.0 {
-            let need = match class {
+            let needed = match priority {
                 RequestPriority::Lease => 1.0,
                 _ => writes,
             };
-            wait = wait.max(both.1.lacks(need, reserve, claimed));
-            self.short.store(wait.is_some(), Ordering::Relaxed);
+            wait = wait.max(buckets.1.time_until_available(
+                needed,
+                reserved_fraction,
+                reserved_writes,
+            ));
+            self.short_of_writes
+                .store(wait.is_some(), Ordering::Relaxed);
         }
-        if let Some(at) = own {
-            claims.swap_remove(at);
+        if let Some(index) = own {
+            reservations.swap_remove(index);
         }
         if let Some(wait) = wait {
-            if !class.patience().is_zero() {
-                claims.push(Claim {
-                    class,
+            if !priority.max_wait().is_zero() {
+                reservations.push(Reservation {
+                    priority,
                     writes,
                     since,
-                    until: now + wait.min(class.patience()) + Claim::KEPT,
+                    expires: now + wait.min(priority.max_wait()) + Reservation::RETRY_GRACE,
                 });
             }
             return Err(wait);
         }
-        both.0.tokens -= 1.0;
-        both.1.tokens -= writes;
+        buckets.0.tokens -= 1.0;
+        buckets.1.tokens -= writes;
         Ok(())
     }
 }
--- a/crates/pulleywood-transport/src/client.rs
+++ b/crates/pulleywood-transport/src/client.rs
@@ -1,43 +1,43 @@
-//! A blocking HTTP/1.1 client with deadlines and kept-alive connections.
+//! A blocking HTTP/1.1 client with deadlines and persistent connections.
 
 use parking_lot::Mutex;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
-    /// Nothing was sent: the other side cannot have executed it.
-    #[error("not sent: {0}")]
+pub enum ClientError {
+    /// Nothing was sent, so the server cannot have executed the request.
+    #[error("failed to connect, so the request was not sent: {0}")]
     NotSent(std::io::Error),
-    /// It was sent, at least in part: the other side may have executed it, or
-    /// may still do so.
-    #[error("no answer: {0}")]
-    Unknown(std::io::Error),
+    /// The request was sent, at least in part. The server may have executed it or may still
+    /// do so.
+    #[error("received no valid response, so the outcome of the request is unknown: {0}")]
+    OutcomeUnknown(std::io::Error),
 }
 
-/// An answer.
+/// An HTTP response.
 #[derive(Debug)]
-pub struct Answer {
-    /// The status code.
+pub struct Response {
+    /// HTTP status code.
     pub status: u16,
-    /// The body.
+    /// Body, not decoded; empty if there is none.
     pub body: Vec<u8>,
 }
 
-/// A kept-alive connection, used by one call at a time.
+/// A persistent connection, used by one call at a time.
 struct Connection {
     stream: TcpStream,
-    /// Reused for each answer.
+    /// Read buffer, reused for each response.
     buffer: Vec<u8>,
 }
 
-/// Connections to one address.
+/// An HTTP client of one address. Concurrent calls use a connection each.
 pub struct Client {
     addr: SocketAddr,
     idle: Mutex<Vec<Connection>>,
-    /// Most idle connections that are kept.
+    /// Maximum number of idle connections that are kept open.
     max_idle: usize,
 }
 
@@ -47,31 +47,32 @@
     }
 }
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
-/// A larger buffer is freed after its answer, in bytes.
-const MAX_KEPT_BUFFER: usize = 65_536;
-/// Bytes read at a time.
+/// Maximum size of a response in bytes, headers included.
+const MAX_RESPONSE: usize = 16 << 20;
+/// A read buffer with more capacity than this, in bytes, is freed after its response.
+const MAX_RETAINED_BUFFER: usize = 65_536;
+/// Maximum number of bytes per read.
 const READ_SIZE: usize = 4096;
-/// Most headers of an answer.
+/// Maximum number of headers of a response.
 const MAX_HEADERS: usize = 32;
-/// Less time than this is none: time-outs of zero are refused by the system.
+/// A shorter remaining time counts as a passed deadline, since the system rejects a socket
+/// timeout of zero.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
-fn bad(text: &'static str) -> std::io::Error {
+fn invalid_response(text: &'static str) -> std::io::Error {
     std::io::Error::new(ErrorKind::InvalidData, text)
 }
 
-/// Time left, or a time-out error.
+/// Returns the time until the deadline, or a [`ErrorKind::TimedOut`] error if it has passed.
 pub(crate) fn remaining(deadline: Instant) -> std::io::Result<Duration> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left < MIN_TIMEOUT {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining < MIN_TIMEOUT {
         return Err(ErrorKind::TimedOut.into());
     }
-    Ok(left)
+    Ok(remaining)
 }
 
-/// Opens a connection for small messages.
+/// Opens a connection that sends small messages without delay.
 pub(crate) fn connect(addr: SocketAddr, deadline: Instant) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect_timeout(&addr, remaining(deadline)?)?;
     stream.set_nodelay(true)?;
@@ -79,7 +80,8 @@
 }
 
 impl Client {
-    /// A client that keeps up to `max_idle` idle connections.
+    /// Creates a client of the server at `addr` that keeps up to `max_idle` idle connections
+    /// open.
     pub fn new(addr: SocketAddr, max_idle: usize) -> Self {
         Self {
             addr,
@@ -88,38 +90,39 @@
         }
     }
 
-    /// Sends one request and waits for its answer until the deadline.
+    /// Sends one request and waits up to `timeout` for the response. The request is not
+    /// retried.
     ///
     /// # Errors
     ///
-    /// [`Failure::NotSent`] if the other side cannot have executed it, and
-    /// [`Failure::Unknown`] if it may have.
+    /// Returns [`ClientError::NotSent`] if the server cannot have executed the request, and
+    /// [`ClientError::OutcomeUnknown`] if it may have.
     pub fn call(
         &self,
         method: &str,
         path: &str,
         body: Option<&[u8]>,
         timeout: Duration,
-    ) -> Result<Answer, Failure> {
+    ) -> Result<Response, ClientError> {
         let deadline = Instant::now() + timeout;
         let mut connection = match self.idle_connection() {
             Some(connection) => connection,
-            None => self.connect(deadline).map_err(Failure::NotSent)?,
+            None => self.connect(deadline).map_err(ClientError::NotSent)?,
         };
         let request = self.encode(method, path, body);
-        let (answer, close) =
-            exchange(&mut connection, &request, deadline).map_err(Failure::Unknown)?;
+        let (response, close) =
+            exchange(&mut connection, &request, deadline).map_err(ClientError::OutcomeUnknown)?;
         if !close {
-            self.keep(connection);
+            self.keep_idle(connection);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// A kept-alive connection that the other side has not closed.
+    /// Takes an idle connection that the server has not closed, if there is one.
     fn idle_connection(&self) -> Option<Connection> {
         loop {
             let connection = self.idle.lock().pop()?;
-            if still_open(&connection.stream) {
+            if is_reusable(&connection.stream) {
                 return Some(connection);
             }
         }
@@ -132,7 +135,7 @@
         })
     }
 
-    fn keep(&self, connection: Connection) {
+    fn keep_idle(&self, connection: Connection) {
         let mut idle = self.idle.lock();
         if idle.len() < self.max_idle {
             idle.push(connection);
@@ -140,9 +143,9 @@
     }
 
     fn encode(&self, method: &str, path: &str, body: Option<&[u8]>) -> Vec<u8> {
-        /// Bytes of a usual request line with its headers.
-        const HEAD_SIZE: usize = 160;
-        let mut request = Vec::with_capacity(HEAD_SIZE + body.map_or(0, <[u8]>::len));
+        /// Capacity reserved for the request line and the headers, in bytes.
+        const HEAD_CAPACITY: usize = 160;
+        let mut request = Vec::with_capacity(HEAD_CAPACITY + body.map_or(0, <[u8]>::len));
         // Writing to a Vec cannot fail.
         let _ = write!(
             request,
@@ -163,21 +166,25 @@
     }
 }
 
-fn still_open(stream: &TcpStream) -> bool {
+/// Whether an idle connection can be used again: the server has neither closed it nor sent
+/// bytes that belong to no request.
+fn is_reusable(stream: &TcpStream) -> bool {
     if stream.set_nonblocking(true).is_err() {
         return false;
     }
     let mut byte = [0];
-    let quiet = matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock);
-    quiet && stream.set_nonblocking(false).is_ok()
+    let nothing_to_read =
+        matches!(stream.peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock);
+    nothing_to_read && stream.set_nonblocking(false).is_ok()
 }
 
-/// Sends a request and reads its answer. True: the connection cannot be used again.
+/// Sends a request and reads its response. The flag is set if the connection cannot be used
+/// again.
 fn exchange(
     connection: &mut Connection,
     request: &[u8],
     deadline: Instant,
-) -> std::io::Result<(Answer, bool)> {
+) -> std::io::Result<(Response, bool)> {
     connection
         .stream
         .set_write_timeout(Some(remaining(deadline)?))?;
@@ -187,22 +194,22 @@
     let mut head: Option<Head> = None;
     loop {
         if let Some(head) = &head
-            && let Some(end) = head.end()
+            && let Some(end) = head.response_end()
             && connection.buffer.len() >= end
         {
-            return Ok(finish(connection, head, end));
+            return Ok(take_response(connection, head, end));
         }
         connection
             .stream
             .set_read_timeout(Some(remaining(deadline)?))?;
         let count = match connection.stream.read(&mut chunk) {
-            Ok(0) => return answer_ended_by_close(&connection.buffer, head),
+            Ok(0) => return response_ended_by_close(&connection.buffer, head),
             Ok(count) => count,
             Err(e) if e.kind() == ErrorKind::Interrupted => continue,
             Err(e) => return Err(e),
         };
         connection.buffer.extend_from_slice(&chunk[..count]);
-        if connection.buffer.len() > MAX_ANSWER {
+        if connection.buffer.len() > MAX_RESPONSE {
             return Err(ErrorKind::FileTooLarge.into());
         }
         if head.is_none() {
@@ -211,78 +218,89 @@
     }
 }
 
-/// Takes a whole answer out of the buffer.
-fn finish(connection: &mut Connection, head: &Head, end: usize) -> (Answer, bool) {
-    let answer = Answer {
+/// Returns the complete response in the buffer, and whether the connection must be closed.
+fn take_response(connection: &mut Connection, head: &Head, end: usize) -> (Response, bool) {
+    let response = Response {
         status: head.status,
         body: connection.buffer[head.body_start..end].to_vec(),
     };
-    // Bytes beyond the answer belong to no request.
+    // Bytes after the response belong to no request.
     let close = head.close || connection.buffer.len() > end;
-    if connection.buffer.capacity() > MAX_KEPT_BUFFER {
+    if connection.buffer.capacity() > MAX_RETAINED_BUFFER {
         connection.buffer = Vec::new();
     }
-    (answer, close)
+    (response, close)
 }
 
-/// Without a length the body ends with the connection.
-fn answer_ended_by_close(buffer: &[u8], head: Option<Head>) -> std::io::Result<(Answer, bool)> {
+/// Returns the response after the server has closed the connection, which ends a body without
+/// `Content-Length`.
+fn response_ended_by_close(buffer: &[u8], head: Option<Head>) -> std::io::Result<(Response, bool)> {
     match head {
         Some(head) if head.body_length.is_none() => {
             let body = buffer[head.body_start..].to_vec();
             let status = head.status;
-            Ok((Answer { status, body }, true))
+            Ok((Response { status, body }, true))
         }
         _ => Err(ErrorKind::UnexpectedEof.into()),
     }
 }
 
-/// Status line and headers of an answer.
+/// Status line and headers of a response.
 struct Head {
-    /// Where the body begins in the buffer.
+    /// Offset of the body in the buffer.
     body_start: usize,
     status: u16,
-    /// None: the body ends with the connection.
+    /// Size of the body in bytes; `None` if the body ends when the connection closes.
     body_length: Option<usize>,
-    /// The other side closes the connection after the answer.
+    /// The server closes the connection after the response.
     close: bool,
 }
 
 impl Head {
-    /// Where the answer ends in the buffer, if its length is known.
-    fn end(&self) -> Option<usize> {
+    /// Offset of the end of the response in the buffer, if its length is known.
+    fn response_end(&self) -> Option<usize> {
         Some(self.body_start + self.body_length?)
     }
 }
 
+/// Parses the status line and the headers. Returns `None` while they are incomplete.
 fn parse_head(buffer: &[u8]) -> std::io::Result<Option<Head>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let start = match response.parse(buffer) {
-        Ok(httparse::Status::Complete(n)) => n,
+    let body_start = match response.parse(buffer) {
+        Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(bad("malformed answer")),
+        Err(_) => {
+            return Err(invalid_response(
+                "malformed status line or headers in response",
+            ));
+        }
     };
     let status = response.code.unwrap_or(0);
-    let mut length = None;
+    let mut body_length = None;
     let mut close = false;
     for header in response.headers.iter() {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         if header.name.eq_ignore_ascii_case("content-length") {
-            length = Some(value.parse::<usize>().map_err(|_| bad("bad length"))?);
+            let length = value
+                .parse::<usize>()
+                .map_err(|_| invalid_response("invalid Content-Length header in response"))?;
+            body_length = Some(length);
         } else if header.name.eq_ignore_ascii_case("connection") {
             close = value.eq_ignore_ascii_case("close");
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(bad("unexpected transfer encoding"));
+            return Err(invalid_response(
+                "unsupported Transfer-Encoding header in response",
+            ));
         }
     }
     if status == 204 || status == 304 {
-        length = Some(0);
+        body_length = Some(0);
     }
     Ok(Some(Head {
-        body_start: start,
+        body_start,
         status,
-        body_length: length,
+        body_length,
         close,
     }))
 }
--- a/crates/pulleywood-transport/src/cloud.rs
+++ b/crates/pulleywood-transport/src/cloud.rs
@@ -1,7 +1,7 @@
-//! The typed client of the cloud, and of workers.
+//! Typed clients of the cloud and of workers.
 
 use crate::budget::{Budget, RequestPriority};
-use crate::client::{Answer, Client, Failure};
+use crate::client::{Client, ClientError, Response};
 use pulleywood_protocol::cbor;
 use pulleywood_protocol::cloud::{
     Flavor, Flavors, MachineNames, Rental, RentalPage, RentalRequest,
@@ -12,59 +12,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a call to the cloud brought no result.
+/// Why a request to the cloud failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// This controller's tokens are used up.
-    #[error("budget used up")]
+    /// This controller has no token left for the request.
+    #[error("request budget for the cloud is exhausted")]
     Budget,
-    /// No machine of this type, zone and kind.
-    #[error("no capacity")]
+    /// The cloud has no machine of the requested type, zone and price model.
+    #[error("cloud has no capacity for the requested machines")]
     NoCapacity,
-    /// Refused without executing it.
-    #[error("refused with {0}")]
+    /// The cloud rejected the request with this HTTP status and did not execute it; 0 if the
+    /// request was not sent.
+    #[error("request to the cloud was rejected with HTTP status {0} (0: not sent)")]
     Refused(u16),
-    /// It may have been executed, or may still be.
-    #[error("outcome unknown: {0}")]
-    Unknown(String),
+    /// The request may have been executed, or may still be.
+    #[error("outcome of the request to the cloud is unknown: {0}")]
+    OutcomeUnknown(String),
 }
 
-/// A client of the cloud.
+/// Client of the cloud.
 #[derive(Debug)]
 pub struct CloudClient {
     client: Client,
     /// For reading machine types, which every controller does.
-    own: Budget,
-    /// For the coordinator, of which there is one.
-    coordinator: Budget,
+    controller_budget: Budget,
+    /// For the requests that only the coordinator sends.
+    coordinator_budget: Budget,
 }
 
-const CALL_TIME: Duration = Duration::from_secs(5);
-/// Machines that a page of the list holds at the most.
-const LIST_PAGE: usize = 500;
+/// Timeout of a request to the cloud.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of machines on a page of the list.
+const LIST_PAGE_SIZE: usize = 500;
 
-/// A machine list that is being read, page by page.
+/// Progress of reading the list of rented machines, page by page.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct RentalListing {
     machines: Vec<Rental>,
     pages: usize,
 }
 
 impl CloudClient {
-    /// A client of the cloud at `addr`: `own` for this controller's calls,
-    /// `coordinator` for those of the coordinator.
-    pub fn new(addr: SocketAddr, own: Budget, coordinator: Budget) -> Self {
+    /// Creates a client of the cloud at `addr`. Requests that every controller sends count
+    /// against `controller_budget`, those of the coordinator against `coordinator_budget`.
+    pub fn new(addr: SocketAddr, controller_budget: Budget, coordinator_budget: Budget) -> Self {
         Self {
             client: Client::new(addr, 2),
-            own,
-            coordinator,
+            controller_budget,
+            coordinator_budget,
         }
     }
 
-    /// Empties the coordinator's token bucket: the previous coordinator may have used up
-    /// the cloud's rate just before.
-    pub fn become_coordinator(&self) {
-        self.coordinator.empty();
+    /// Removes all but one of the coordinator's tokens. A new coordinator must call this, since
+    /// the previous one may have used up the cloud's rate just before.
+    pub fn drain_coordinator_budget(&self) {
+        self.coordinator_budget.drain();
     }
 
     fn send(
@@ -73,53 +75,63 @@
         path: &str,
         body: Option<&[u8]>,
         budget: &Budget,
-        class: RequestPriority,
-    ) -> Result<Answer, CloudError> {
-        budget.take(class, 0).map_err(|_| CloudError::Budget)?;
-        match self.client.call(method, path, body, CALL_TIME) {
-            Ok(a) if a.status == 200 => Ok(a),
-            Ok(a) if a.status == 503 && holds(&a.body, "no capacity") => {
+        priority: RequestPriority,
+    ) -> Result<Response, CloudError> {
+        budget.take(priority, 0).map_err(|_| CloudError::Budget)?;
+        match self.client.call(method, path, body, REQUEST_TIMEOUT) {
+            Ok(response) if response.status == 200 => Ok(response),
+            Ok(response)
+                if response.status == 503 && contains_text(&response.body, "no capacity") =>
+            {
                 Err(CloudError::NoCapacity)
             }
-            Ok(a) => Err(CloudError::Refused(a.status)),
-            Err(Failure::NotSent(_)) => Err(CloudError::Refused(0)),
-            Err(Failure::Unknown(e)) => Err(CloudError::Unknown(e.to_string())),
+            Ok(response) => Err(CloudError::Refused(response.status)),
+            Err(ClientError::NotSent(_)) => Err(CloudError::Refused(0)),
+            Err(ClientError::OutcomeUnknown(e)) => Err(CloudError::OutcomeUnknown(e.to_string())),
         }
     }
 
-    /// The machine types, with current spot prices.
+    /// Reads the machine types, with the current spot prices.
     ///
     /// # Errors
     ///
-    /// [`CloudError`]: no tokens, refused, or no answer.
+    /// Returns a [`CloudError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
     pub fn flavors(&self) -> Result<Vec<Flavor>, CloudError> {
-        let answer = self.send("GET", "/flavors", None, &self.own, RequestPriority::Lease)?;
-        Ok(read::<Flavors>(&answer)?.flavors)
+        let response = self.send(
+            "GET",
+            "/flavors",
+            None,
+            &self.controller_budget,
+            RequestPriority::Lease,
+        )?;
+        Ok(decode::<Flavors>(&response)?.flavors)
     }
 
-    /// Rents machines. After [`CloudError::Unknown`] the same request must be
-    /// repeated, never another under the same name.
+    /// Rents machines. After [`CloudError::OutcomeUnknown`] the same request must be sent again;
+    /// a different request must never have the same name.
     ///
     /// # Errors
     ///
-    /// [`CloudError::Unknown`] if machines may have been rented, any other if none was.
+    /// Returns [`CloudError::OutcomeUnknown`] if machines may have been rented. With any other
+    /// error none was rented.
     pub fn rent(&self, rental_request: &RentalRequest) -> Result<Vec<MachineId>, CloudError> {
         let body = cbor::encode(rental_request);
-        let answer = self.send(
+        let response = self.send(
             "POST",
             "/rentals",
             Some(&body),
-            &self.coordinator,
+            &self.coordinator_budget,
             RequestPriority::ShardLeader,
         )?;
-        Ok(read::<MachineNames>(&answer)?.machines)
+        Ok(decode::<MachineNames>(&response)?.machines)
     }
 
-    /// Releases up to 100 machines; success proves that they are gone.
+    /// Releases up to 100 machines. After success they no longer exist.
     ///
     /// # Errors
     ///
-    /// [`CloudError`]: nothing proves that the machines are gone.
+    /// Returns a [`CloudError`] if the machines may still exist.
     pub fn release(&self, machines: &[MachineId]) -> Result<(), CloudError> {
         let body = cbor::encode(&MachineNames {
             machines: machines.to_vec(),
@@ -129,35 +141,45 @@
             "POST",
             path,
             Some(&body),
-            &self.coordinator,
+            &self.coordinator_budget,
             RequestPriority::ShardLeader,
         )
         .map(|_| ())
     }
 
-    /// Reads pages of the machine list, which lags, as far as there are tokens, and
-    /// returns the list once it is complete. A list may have more pages than a burst of
-    /// requests holds, so it is read over several calls.
+    /// Reads further pages of the list of rented machines, until the tokens are used up. Returns
+    /// the list once it is complete, `None` if the caller must continue later with the same
+    /// `listing`: the list may have more pages than a burst has tokens. The list lags behind
+    /// rentals and releases.
     ///
     /// # Errors
     ///
-    /// [`CloudError`]: no tokens, refused, or no answer.
-    pub fn rentals(&self, listing: &mut Listing) -> Result<Option<Vec<Rental>>, CloudError> {
-        let begun = listing.pages;
+    /// Returns a [`CloudError`] if there is no token for the first page of this call, a request
+    /// is rejected or no valid response arrives in time. `listing` keeps the pages read so far.
+    pub fn read_rentals(
+        &self,
+        listing: &mut RentalListing,
+    ) -> Result<Option<Vec<Rental>>, CloudError> {
+        let pages_before = listing.pages;
         loop {
             let from = listing
                 .machines
                 .last()
-                .map(|r| format!("from={}&", r.machine))
+                .map(|rental| format!("from={}&", rental.machine))
                 .unwrap_or_default();
-            let path = format!("/rentals?{from}page={LIST_PAGE}");
-            let answer =
-                match self.send("GET", &path, None, &self.coordinator, RequestPriority::User) {
-                    // The rest follows when there are tokens again.
-                    Err(CloudError::Budget) if listing.pages > begun => return Ok(None),
-                    answer => answer?,
-                };
-            let page: RentalPage = read(&answer)?;
+            let path = format!("/rentals?{from}page={LIST_PAGE_SIZE}");
+            let response = match self.send(
+                "GET",
+                &path,
+                None,
+                &self.coordinator_budget,
+                RequestPriority::User,
+            ) {
+                // The caller reads the other pages when there are tokens again.
+                Err(CloudError::Budget) if listing.pages > pages_before => return Ok(None),
+                response => response?,
+            };
+            let page: RentalPage = decode(&response)?;
             let empty = page.machines.is_empty();
             listing.pages += 1;
             listing.machines.extend(page.machines);
@@ -168,57 +190,63 @@
     }
 }
 
-fn read<T: DeserializeOwned>(answer: &Answer) -> Result<T, CloudError> {
-    cbor::decode(&answer.body).map_err(|e| CloudError::Unknown(e.to_string()))
+fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, CloudError> {
+    cbor::decode(&response.body).map_err(|e| CloudError::OutcomeUnknown(e.to_string()))
 }
 
-fn holds(body: &[u8], text: &str) -> bool {
+fn contains_text(body: &[u8], text: &str) -> bool {
     body.windows(text.len()).any(|w| w == text.as_bytes())
 }
 
-/// Asks a worker for its heartbeat, which neither renews its lease nor commands it.
+/// Reads a worker's heartbeat from the worker itself. This neither renews the worker's lease nor
+/// sends it commands.
 ///
 /// # Errors
 ///
-/// [`Failure`]: the worker has not answered.
-pub fn show(addr: SocketAddr, time: Duration) -> Result<Heartbeat, Failure> {
+/// Returns a [`ClientError`] if no valid heartbeat arrives within `timeout`.
+pub fn fetch_heartbeat(addr: SocketAddr, timeout: Duration) -> Result<Heartbeat, ClientError> {
     let client = Client::new(addr, 0);
-    let answer = client.call("GET", "/show", None, time)?;
-    match answer.status {
-        200 => cbor::decode(&answer.body).map_err(|e| unreadable(e.to_string())),
-        status => Err(unreadable(format!("status {status}"))),
+    let response = client.call("GET", "/show", None, timeout)?;
+    match response.status {
+        200 => cbor::decode(&response.body).map_err(|e| invalid_response(e.to_string())),
+        status => Err(invalid_response(format!(
+            "worker {addr} responded with HTTP status {status}"
+        ))),
     }
 }
 
-fn unreadable(text: String) -> Failure {
-    Failure::Unknown(std::io::Error::new(std::io::ErrorKind::InvalidData, text))
+fn invalid_response(text: String) -> ClientError {
+    ClientError::OutcomeUnknown(std::io::Error::new(std::io::ErrorKind::InvalidData, text))
 }
 
-/// Sends direct commands to a worker; its heartbeat comes back whether it took
-/// them (`true`) or not.
+/// Sends commands to a worker directly, not in the response to its heartbeat. Returns whether
+/// the worker accepted them, and its current heartbeat in either case.
 ///
 /// # Errors
 ///
-/// [`Failure::Unknown`] if the worker may have executed it or may still do so.
-pub fn direct(
+/// Returns [`ClientError::OutcomeUnknown`] if the worker may have executed the commands or may
+/// still do so.
+pub fn send_direct_command(
     addr: SocketAddr,
-    direct: &DirectCommand,
-    time: Duration,
-) -> Result<(bool, Heartbeat), Failure> {
-    // Direct orders can be executed minutes late; a launch among them could
-    // start a task long after it was started elsewhere.
+    command: &DirectCommand,
+    timeout: Duration,
+) -> Result<(bool, Heartbeat), ClientError> {
+    // Direct commands may be executed minutes late. A launch among them could start a task long
+    // after it was started on another machine.
     debug_assert!(
-        direct
+        command
             .commands
             .iter()
-            .all(|o| !matches!(o, Command::Launch { .. }))
+            .all(|c| !matches!(c, Command::Launch { .. }))
     );
     let client = Client::new(addr, 0);
-    let answer = client.call("POST", "/do", Some(&cbor::encode(direct)), time)?;
-    match answer.status {
-        200 | 409 => cbor::decode(&answer.body)
-            .map(|heartbeat| (answer.status == 200, heartbeat))
-            .map_err(|e| unreadable(e.to_string())),
-        status => Err(unreadable(format!("status {status}"))),
+    let response = client.call("POST", "/do", Some(&cbor::encode(command)), timeout)?;
+    match response.status {
+        200 | 409 => cbor::decode(&response.body)
+            .map(|heartbeat| (response.status == 200, heartbeat))
+            .map_err(|e| invalid_response(e.to_string())),
+        status => Err(invalid_response(format!(
+            "worker {addr} responded with HTTP status {status}"
+        ))),
     }
 }
--- a/crates/pulleywood-transport/src/peer.rs
+++ b/crates/pulleywood-transport/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between controllers: length-prefixed MessagePack over TCP.
+//! Remote calls between controllers: length-prefixed MessagePack over TCP.
 
 use crate::client::{connect, remaining};
 use crate::server::listen;
@@ -11,32 +11,36 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Most bytes of a message: a digest takes about a hundred a machine.
+/// Maximum size of a message in bytes. A digest takes about a hundred bytes per machine.
 const MAX_MESSAGE: usize = 16 << 20;
-/// Most bytes of a frame. A longer message is split, so that memory is taken
-/// only for what has come.
+/// Maximum size of a frame in bytes. A longer message is split into frames, so that the
+/// receiver allocates memory only as data arrives.
 const MAX_FRAME: usize = 256 << 10;
-/// In a frame's length: another frame of the same message follows.
-const MORE: u32 = 1 << 31;
-const STACK: usize = 192 * 1024;
+/// Flag in the length prefix of a frame: another frame of the same message follows.
+const MORE_FRAMES: u32 = 1 << 31;
+/// Stack size of the threads that serve peers, in bytes.
+const STACK_SIZE: usize = 192 * 1024;
 
-fn invalid(text: String) -> std::io::Error {
+fn invalid_data(text: String) -> std::io::Error {
     std::io::Error::new(ErrorKind::InvalidData, text)
 }
 
 fn write_message<T: Serialize>(stream: &mut impl Write, message: &T) -> std::io::Result<()> {
-    let body = rmp_serde::to_vec(message).map_err(|e| invalid(e.to_string()))?;
+    let body = rmp_serde::to_vec(message).map_err(|e| invalid_data(e.to_string()))?;
     if body.len() > MAX_MESSAGE {
-        return Err(invalid(format!("a message of {} bytes", body.len())));
+        return Err(invalid_data(format!(
+            "peer message of {} bytes exceeds the limit of {MAX_MESSAGE} bytes",
+            body.len()
+        )));
     }
-    let mut left = body.len();
+    let mut remaining_bytes = body.len();
     for frame in body.chunks(MAX_FRAME) {
-        left -= frame.len();
-        let more = if left > 0 { MORE } else { 0 };
-        let mut out = Vec::with_capacity(frame.len() + 4);
-        out.extend_from_slice(&(frame.len() as u32 | more).to_be_bytes());
-        out.extend_from_slice(frame);
-        stream.write_all(&out)?;
+        remaining_bytes -= frame.len();
+        let flag = if remaining_bytes > 0 { MORE_FRAMES } else { 0 };
+        let mut encoded = Vec::with_capacity(frame.len() + 4);
+        encoded.extend_from_slice(&(frame.len() as u32 | flag).to_be_bytes());
+        encoded.extend_from_slice(frame);
+        stream.write_all(&encoded)?;
     }
     Ok(())
 }
@@ -44,67 +48,74 @@
 fn read_message<T: DeserializeOwned>(stream: &mut impl Read) -> std::io::Result<T> {
     let mut body = Vec::new();
     loop {
-        let mut head = [0u8; 4];
-        stream.read_exact(&mut head)?;
-        let head = u32::from_be_bytes(head);
-        let length = (head & !MORE) as usize;
+        let mut prefix = [0u8; 4];
+        stream.read_exact(&mut prefix)?;
+        let prefix = u32::from_be_bytes(prefix);
+        let length = (prefix & !MORE_FRAMES) as usize;
         let start = body.len();
         if length > MAX_FRAME || start + length > MAX_MESSAGE {
-            log::error!("a message of more than {start} bytes from another controller");
-            return Err(invalid("too long".into()));
+            log::error!(
+                "rejected a peer message with a frame of {length} bytes after {start} bytes: the \
+                 limits are {MAX_FRAME} bytes per frame and {MAX_MESSAGE} per message"
+            );
+            return Err(invalid_data(format!(
+                "peer message exceeds the size limits: frame of {length} bytes after {start} bytes"
+            )));
         }
         body.resize(start + length, 0);
         stream.read_exact(&mut body[start..])?;
-        if head & MORE == 0 {
-            return rmp_serde::from_slice(&body).map_err(|e| invalid(e.to_string()));
+        if prefix & MORE_FRAMES == 0 {
+            return rmp_serde::from_slice(&body).map_err(|e| invalid_data(e.to_string()));
         }
     }
 }
 
-/// Calls to one other controller, one at a time over a kept-alive connection.
+/// Client of one other controller. It makes one call at a time over a persistent connection.
 #[derive(Debug)]
 pub struct PeerClient {
     addr: SocketAddr,
-    conn: Mutex<Option<TcpStream>>,
+    connection: Mutex<Option<TcpStream>>,
 }
 
 impl PeerClient {
-    /// A client of the controller at `addr`.
+    /// Creates a client of the controller at `addr`. It connects at the first call.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
-            conn: Mutex::new(None),
+            connection: Mutex::new(None),
         }
     }
 
-    /// Asks and waits for the reply.
+    /// Sends a request and waits for the response. The request may be sent twice: it is
+    /// repeated on a new connection if a reused one fails.
     ///
     /// # Errors
     ///
-    /// The controller cannot be reached or does not answer in time.
-    pub fn ask(&self, ask: &PeerRequest, time: Duration) -> std::io::Result<PeerResponse> {
-        let deadline = Instant::now() + time;
-        // The connection is taken out while in use: no lock across I/O.
-        let kept = self.conn.lock().take();
-        let reused = kept.is_some();
-        let mut stream = match kept {
+    /// Returns an error if the controller cannot be reached or does not respond within
+    /// `timeout`.
+    pub fn call(&self, request: &PeerRequest, timeout: Duration) -> std::io::Result<PeerResponse> {
+        let deadline = Instant::now() + timeout;
+        // The connection is taken out while in use, so that no lock is held during I/O.
+        let idle = self.connection.lock().take();
+        let reused = idle.is_some();
+        let mut stream = match idle {
             Some(stream) => stream,
             None => connect(self.addr, deadline)?,
         };
-        let result = match exchange(&mut stream, ask, deadline) {
-            // A kept connection may have been closed by a restart.
+        let result = match exchange(&mut stream, request, deadline) {
+            // A restart of the other controller closes the idle connection.
             Err(e)
                 if reused
                     && e.kind() != ErrorKind::TimedOut
                     && e.kind() != ErrorKind::WouldBlock =>
             {
                 stream = connect(self.addr, deadline)?;
-                exchange(&mut stream, ask, deadline)
+                exchange(&mut stream, request, deadline)
             }
             other => other,
         };
         if result.is_ok() {
-            *self.conn.lock() = Some(stream);
+            *self.connection.lock() = Some(stream);
         }
         result
     }
@@ -112,70 +123,72 @@
 
 fn exchange(
     stream: &mut TcpStream,
-    ask: &PeerRequest,
+    request: &PeerRequest,
     deadline: Instant,
 ) -> std::io::Result<PeerResponse> {
     stream.set_write_timeout(Some(remaining(deadline)?))?;
-    write_message(stream, ask)?;
+    write_message(stream, request)?;
     stream.set_read_timeout(Some(remaining(deadline)?))?;
     read_message(stream)
 }
 
-/// Serves other controllers; at most `max` connections at a time.
+/// Starts a server for the other controllers and returns the address that it listens on.
+/// Further connections are closed while `max_connections` are open.
 ///
 /// # Errors
 ///
-/// The socket cannot be opened.
+/// Returns an error if the socket cannot be bound or the thread cannot be started.
 pub fn serve(
     addr: SocketAddr,
-    max: usize,
-    answer: impl Fn(PeerRequest) -> PeerResponse + Send + Sync + 'static,
+    max_connections: usize,
+    handler: impl Fn(PeerRequest) -> PeerResponse + Send + Sync + 'static,
 ) -> std::io::Result<SocketAddr> {
-    let listener = listen(addr, max)?;
-    let bound = listener.local_addr()?;
-    let answer = Arc::new(answer);
-    let open = Arc::new(AtomicUsize::new(0));
+    let listener = listen(addr, max_connections)?;
+    let bound_addr = listener.local_addr()?;
+    let handler = Arc::new(handler);
+    let open_connections = Arc::new(AtomicUsize::new(0));
     std::thread::Builder::new()
         .name("peers".into())
-        .stack_size(STACK)
+        .stack_size(STACK_SIZE)
         .spawn(move || {
             loop {
                 let Ok((stream, _)) = listener.accept() else {
                     std::thread::sleep(Duration::from_millis(50));
                     continue;
                 };
-                if open.load(Ordering::Relaxed) >= max {
+                if open_connections.load(Ordering::Relaxed) >= max_connections {
                     continue;
                 }
-                open.fetch_add(1, Ordering::Relaxed);
-                let (answer, open_here) = (Arc::clone(&answer), Arc::clone(&open));
+                open_connections.fetch_add(1, Ordering::Relaxed);
+                let (handler, open) = (Arc::clone(&handler), Arc::clone(&open_connections));
                 let started = std::thread::Builder::new()
                     .name("peer".into())
-                    .stack_size(STACK)
+                    .stack_size(STACK_SIZE)
                     .spawn(move || {
-                        if let Err(e) = converse(stream, &*answer) {
-                            log::debug!("peer connection ended: {e}");
+                        if let Err(e) = serve_connection(stream, &*handler) {
+                            log::debug!("closed a peer connection: {e}");
                         }
-                        open_here.fetch_sub(1, Ordering::Relaxed);
+                        open.fetch_sub(1, Ordering::Relaxed);
                     });
                 if started.is_err() {
-                    open.fetch_sub(1, Ordering::Relaxed);
+                    open_connections.fetch_sub(1, Ordering::Relaxed);
                 }
             }
         })?;
-    Ok(bound)
+    Ok(bound_addr)
 }
 
-fn converse(
+/// Answers requests one after another until the connection fails or closes.
+fn serve_connection(
     mut stream: TcpStream,
-    answer: &dyn Fn(PeerRequest) -> PeerResponse,
+    handler: &dyn Fn(PeerRequest) -> PeerResponse,
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(20)))?;
     stream.set_write_timeout(Some(Duration::from_secs(2)))?;
     loop {
-        let ask = read_message(&mut stream)?;
-        write_message(&mut stream, &answer(ask))?;
+        let request = read_message(&mut stream)?;
+        write_message(&mut stream, &handler(request))?;
     }
 }
 
--- a/crates/pulleywood-transport/src/peer/tests.rs
+++ b/crates/pulleywood-transport/src/peer/tests.rs
@@ -1,10 +1,10 @@
-//! Framing of messages between controllers.
+//! Framing and size limits of messages between controllers.
 
 use super::*;
 
 #[test]
-fn messages_past_a_frame_are_split_and_those_past_the_bound_refused() {
-    // (bytes of text, frames; none: refused)
+fn messages_larger_than_a_frame_are_split_and_those_over_the_limit_rejected() {
+    // (bytes of text, expected frames; `None`: the message is rejected)
     let cases = [
         (10, Some(1)),
         (MAX_FRAME - 5, Some(1)),
@@ -14,20 +14,20 @@
     ];
     for (bytes, frames) in cases {
         let text = "x".repeat(bytes);
-        let mut wire = Vec::new();
-        let sent = write_message(&mut wire, &text);
-        assert_eq!(sent.is_ok(), frames.is_some(), "{bytes}");
+        let mut encoded = Vec::new();
+        let written = write_message(&mut encoded, &text);
+        assert_eq!(written.is_ok(), frames.is_some(), "{bytes} bytes");
         let Some(frames) = frames else { continue };
-        let in_batch = rmp_serde::to_vec(&text).unwrap().len();
-        assert_eq!((wire.len() - in_batch) / 4, frames, "{bytes}");
-        let read: String = read_message(&mut &wire[..]).unwrap();
-        assert_eq!(read, text);
+        let body_length = rmp_serde::to_vec(&text).unwrap().len();
+        assert_eq!((encoded.len() - body_length) / 4, frames, "{bytes} bytes");
+        let decoded: String = read_message(&mut &encoded[..]).unwrap();
+        assert_eq!(decoded, text);
     }
-    // More than the bound, however it is cut up.
-    let mut wire = Vec::new();
+    // The limit on a message also holds if each of its frames is within the limit on frames.
+    let mut encoded = Vec::new();
     for _ in 0..=MAX_MESSAGE / MAX_FRAME {
-        wire.extend((MAX_FRAME as u32 | MORE).to_be_bytes());
-        wire.extend(vec![0; MAX_FRAME]);
+        encoded.extend((MAX_FRAME as u32 | MORE_FRAMES).to_be_bytes());
+        encoded.extend(vec![0; MAX_FRAME]);
     }
-    assert!(read_message::<String>(&mut &wire[..]).is_err());
+    assert!(read_message::<String>(&mut &encoded[..]).is_err());
 }
--- a/crates/pulleywood-transport/src/store.rs
+++ b/crates/pulleywood-transport/src/store.rs
@@ -1,7 +1,7 @@
-//! The typed client of the state service.
+//! Typed client of the state service: keys, transactions, leases and watches.
 
 use crate::budget::{Budget, RequestPriority};
-use crate::client::{Answer, Client, Failure};
+use crate::client::{Client, ClientError, Response};
 use pulleywood_protocol::cbor;
 use pulleywood_protocol::store::{
     Events, Failed, Item, LeaseGranted, Page, StoreRevision, Transaction, Ttl,
@@ -12,99 +12,113 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Why a call to the state service brought no result.
+/// Why a request to the state service failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// This controller's tokens are used up for this class of call.
-    #[error("budget used up for {0:?}")]
+    /// This controller has too few tokens for a request of this priority; there may be enough
+    /// after the given time.
+    #[error("request budget for the state service is exhausted; tokens are expected in {0:?}")]
     Budget(Duration),
-    /// The service refused without executing it.
-    #[error("refused with {0}")]
+    /// The service rejected the request with this HTTP status and did not execute it.
+    #[error("request to the state service was rejected with HTTP status {0}")]
     Refused(u16),
-    /// It cannot have been executed.
-    #[error("not sent: {0}")]
+    /// The request was not sent, so it cannot have been executed.
+    #[error("request to the state service was not sent: {0}")]
     NotSent(std::io::Error),
-    /// It may have been executed, or may still be.
-    #[error("outcome unknown: {0}")]
-    Unknown(String),
-    /// The lease is gone.
-    #[error("no such lease")]
+    /// The request may have been executed, or may still be.
+    #[error("outcome of the request to the state service is unknown: {0}")]
+    OutcomeUnknown(String),
+    /// The lease has expired or was revoked.
+    #[error("lease does not exist in the state service: it has expired or was revoked")]
     NoLease,
-    /// The watch's start is too old, or too much has changed since.
-    #[error("too old")]
-    TooOld,
+    /// The service no longer has all changes since the requested revision, or they are too
+    /// large for one response. All keys must be read again.
+    #[error("changes since the watched revision are no longer available or too large to read")]
+    RevisionTooOld,
 }
 
-/// What became of a transaction that was answered.
+/// Result of a transaction that the service has answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Applied at this revision.
+    /// The transaction was applied at this revision.
     Applied(Revision),
-    /// A condition failed; nothing was changed.
+    /// A condition was not met, so nothing was changed.
     Conflict,
 }
 
-/// A client of the state service.
+/// Client of the state service.
 #[derive(Debug)]
 pub struct StoreClient {
-    calls: Client,
-    watches: Client,
+    client: Client,
+    /// Separate connections for watches, which stay open for long.
+    watch_client: Client,
     budget: Budget,
     started: Instant,
-    last_ok: AtomicU64,
-    last_bad: AtomicU64,
+    /// Time of the last ordinary response, in milliseconds after `started` plus one; 0 if there
+    /// was none.
+    last_success_ms: AtomicU64,
+    /// Time of the last request that failed or was rejected, likewise.
+    last_failure_ms: AtomicU64,
 }
 
-/// An ordinary call's time: users wait 2 to 5 s for theirs, and the slowest
-/// usual answers take a few hundred milliseconds.
-const CALL_TIME: Duration = Duration::from_millis(1500);
+/// Timeout of an ordinary request. Users wait 2 to 5 s for their own, and the slowest usual
+/// responses take a few hundred milliseconds.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl StoreClient {
-    /// A client of the service at `addr` within `budget`.
+    /// Creates a client of the state service at `addr` that keeps within `budget`.
     pub fn new(addr: SocketAddr, budget: Budget) -> Self {
         Self {
-            calls: Client::new(addr, 8),
-            watches: Client::new(addr, 2),
+            client: Client::new(addr, 8),
+            watch_client: Client::new(addr, 2),
             budget,
             started: Instant::now(),
-            last_ok: AtomicU64::new(0),
-            last_bad: AtomicU64::new(0),
+            last_success_ms: AtomicU64::new(0),
+            last_failure_ms: AtomicU64::new(0),
         }
     }
 
-    /// Tokens of this controller.
+    /// Budget of this controller for requests to the state service.
     pub fn budget(&self) -> &Budget {
         &self.budget
     }
 
-    /// Most writes that one transaction should hold.
+    /// Maximum number of writes that a transaction should contain, so that it need not wait
+    /// for a full token bucket; at least 1.
     pub fn preferred_writes(&self) -> usize {
         self.budget.preferred_writes()
     }
 
-    fn note(&self, ok: bool) {
-        let now = self.started.elapsed().as_millis() as u64 + 1;
-        let slot = if ok { &self.last_ok } else { &self.last_bad };
-        slot.fetch_max(now, Ordering::Relaxed);
+    fn record_availability(&self, success: bool) {
+        let now_ms = self.started.elapsed().as_millis() as u64 + 1;
+        let last_ms = if success {
+            &self.last_success_ms
+        } else {
+            &self.last_failure_ms
+        };
+        last_ms.fetch_max(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether the newest answer was a good one.
-    pub fn answers(&self) -> bool {
-        let ok = self.last_ok.load(Ordering::Relaxed);
-        ok > 0 && ok >= self.last_bad.load(Ordering::Relaxed)
+    /// Whether the most recent request got an ordinary response; `false` before the first one.
+    pub fn is_available(&self) -> bool {
+        let last_success_ms = self.last_success_ms.load(Ordering::Relaxed);
+        last_success_ms > 0 && last_success_ms >= self.last_failure_ms.load(Ordering::Relaxed)
     }
 
-    /// Takes tokens; classes that can wait do so, briefly.
+    /// Takes the tokens of one request that contains `writes` writes. Waits for them up to
+    /// [`RequestPriority::max_wait`].
     ///
     /// # Errors
     ///
-    /// [`StoreError::Budget`] if there are too few tokens in time.
-    pub fn take(&self, class: RequestPriority, writes: u32) -> Result<(), StoreError> {
-        let end = Instant::now() + class.patience();
+    /// Returns [`StoreError::Budget`] if there will be too few tokens in that time.
+    pub fn take_tokens(&self, priority: RequestPriority, writes: u32) -> Result<(), StoreError> {
+        let deadline = Instant::now() + priority.max_wait();
         loop {
-            match self.budget.take(class, writes) {
+            match self.budget.take(priority, writes) {
                 Ok(()) => return Ok(()),
-                Err(wait) if Instant::now() + wait > end => return Err(StoreError::Budget(wait)),
+                Err(wait) if Instant::now() + wait > deadline => {
+                    return Err(StoreError::Budget(wait));
+                }
                 Err(wait) => std::thread::sleep(wait.max(Duration::from_millis(2))),
             }
         }
@@ -116,61 +130,65 @@
         method: &str,
         path: &str,
         body: Option<&[u8]>,
-        time: Duration,
-    ) -> Result<Answer, StoreError> {
-        let result = client.call(method, path, body, time);
-        // 400 and 404 are answers; 429 and 503 are refusals.
-        self.note(matches!(&result, Ok(a) if a.status < 429));
+        timeout: Duration,
+    ) -> Result<Response, StoreError> {
+        let result = client.call(method, path, body, timeout);
+        // 400 and 404 are ordinary responses; with 429 and 503 the service rejects the request.
+        self.record_availability(matches!(&result, Ok(response) if response.status < 429));
         match result {
-            Ok(a) if a.status == 429 || a.status >= 500 => Err(StoreError::Refused(a.status)),
-            Ok(a) => Ok(a),
-            Err(Failure::NotSent(e)) => Err(StoreError::NotSent(e)),
-            // After a long cut a watch brings more than fits into memory: what is
-            // live is read instead.
-            Err(Failure::Unknown(e)) if e.kind() == std::io::ErrorKind::FileTooLarge => {
-                Err(StoreError::TooOld)
+            Ok(response) if response.status == 429 || response.status >= 500 => {
+                Err(StoreError::Refused(response.status))
             }
-            Err(Failure::Unknown(e)) => Err(StoreError::Unknown(e.to_string())),
+            Ok(response) => Ok(response),
+            Err(ClientError::NotSent(e)) => Err(StoreError::NotSent(e)),
+            // After a long network failure a watch may return more changes than the client
+            // reads; the caller then reads the current keys instead.
+            Err(ClientError::OutcomeUnknown(e)) if e.kind() == std::io::ErrorKind::FileTooLarge => {
+                Err(StoreError::RevisionTooOld)
+            }
+            Err(ClientError::OutcomeUnknown(e)) => Err(StoreError::OutcomeUnknown(e.to_string())),
         }
     }
 
-    /// Reads one key.
+    /// Reads one key. Returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
-    pub fn get(&self, class: RequestPriority, key: &str) -> Result<Option<Item>, StoreError> {
-        self.take(class, 0)?;
-        let answer = self.send(
-            &self.calls,
+    /// Returns a [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
+    pub fn get(&self, priority: RequestPriority, key: &str) -> Result<Option<Item>, StoreError> {
+        self.take_tokens(priority, 0)?;
+        let response = self.send(
+            &self.client,
             "GET",
             &format!("/store/{key}"),
             None,
-            CALL_TIME,
+            REQUEST_TIMEOUT,
         )?;
-        if answer.status == 404 {
+        if response.status == 404 {
             return Ok(None);
         }
-        read(&answer).map(Some)
+        decode(&response).map(Some)
     }
 
-    /// Reads all keys with a prefix, and the revision of the first page: any
-    /// change after it may be missing from later pages.
+    /// Reads all keys with a prefix, page by page. Also returns the revision of the first page:
+    /// the other pages may or may not contain changes after it.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
+    /// Returns a [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
     pub fn list(
         &self,
-        class: RequestPriority,
+        priority: RequestPriority,
         prefix: &str,
     ) -> Result<(Vec<Item>, u64), StoreError> {
         let mut items: Vec<Item> = Vec::new();
         let mut store_revision = None;
         loop {
-            self.take(class, 0)?;
+            self.take_tokens(priority, 0)?;
             let after = items.last().map(|i| i.path.as_str());
-            let page = self.page(prefix, after, 1000)?;
+            let page = self.fetch_page(prefix, after, 1000)?;
             store_revision.get_or_insert(page.store_revision);
             let empty = page.items.is_empty();
             items.extend(page.items);
@@ -180,71 +198,85 @@
         }
     }
 
-    fn page(&self, prefix: &str, after: Option<&str>, most: u32) -> Result<Page, StoreError> {
+    fn fetch_page(
+        &self,
+        prefix: &str,
+        after: Option<&str>,
+        limit: u32,
+    ) -> Result<Page, StoreError> {
         let after = after.map(|key| format!("&from={key}")).unwrap_or_default();
-        let path = format!("/store?starts={prefix}{after}&page={most}");
-        let answer = self.send(&self.calls, "GET", &path, None, CALL_TIME * 2)?;
-        read(&answer)
+        let path = format!("/store?starts={prefix}{after}&page={limit}");
+        let response = self.send(&self.client, "GET", &path, None, REQUEST_TIMEOUT * 2)?;
+        decode(&response)
     }
 
-    /// Reads a few keys with a prefix that come after a key in order; an empty key begins
-    /// with the first.
+    /// Reads at most `limit` keys with a prefix that follow the key `after` in lexicographic
+    /// order. With an empty `after` it starts at the first key.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
-    pub fn slice(
+    /// Returns a [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
+    pub fn list_after(
         &self,
-        class: RequestPriority,
+        priority: RequestPriority,
         prefix: &str,
         after: &str,
-        most: u32,
+        limit: u32,
     ) -> Result<Page, StoreError> {
-        self.take(class, 0)?;
-        self.page(prefix, Some(after).filter(|key| !key.is_empty()), most)
+        self.take_tokens(priority, 0)?;
+        self.fetch_page(prefix, Some(after).filter(|key| !key.is_empty()), limit)
     }
 
-    /// Sends a transaction. Every one must be a compare-and-set, since one
-    /// without an answer may be applied minutes later.
+    /// Sends a transaction. It must be a compare-and-set, since one without a response may be
+    /// applied minutes later.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unknown`] if it may have been applied or may still be; any other
-    /// error: it was not applied.
+    /// Returns [`StoreError::OutcomeUnknown`] if the transaction may have been applied or may
+    /// still be. With any other error it was not applied.
     pub fn commit(
         &self,
-        class: RequestPriority,
+        priority: RequestPriority,
         transaction: &Transaction,
     ) -> Result<Outcome, StoreError> {
-        self.take(class, transaction.writes.len() as u32)?;
+        self.take_tokens(priority, transaction.writes.len() as u32)?;
         Ok(match self.commit_with_tokens(transaction)? {
             Ok(revision) => Outcome::Applied(revision),
             Err(_) => Outcome::Conflict,
         })
     }
 
-    /// As [`StoreClient::commit`], with tokens taken before; a conflict names
-    /// the keys that were not as expected.
+    /// Like [`StoreClient::commit`], but the caller has taken the tokens. The inner error
+    /// contains the keys whose conditions were not met; it is empty if the response names none.
     ///
     /// # Errors
     ///
-    /// As [`StoreClient::commit`].
+    /// Like [`StoreClient::commit`].
     pub fn commit_with_tokens(
         &self,
         transaction: &Transaction,
     ) -> Result<Result<Revision, Vec<String>>, StoreError> {
         debug_assert!(transaction.is_compare_and_set(), "{transaction:?}");
         let body = cbor::encode(transaction);
-        let answer = self.send(&self.calls, "POST", "/commit", Some(&body), CALL_TIME)?;
-        match answer.status {
-            200 => Ok(Ok(Revision(read::<StoreRevision>(&answer)?.store_revision))),
-            // Whatever it says, nothing was applied.
-            409 => Ok(Err(cbor::decode::<Failed>(&answer.body)
-                .map(|f| f.failed)
+        let response = self.send(
+            &self.client,
+            "POST",
+            "/commit",
+            Some(&body),
+            REQUEST_TIMEOUT,
+        )?;
+        match response.status {
+            200 => Ok(Ok(Revision(
+                decode::<StoreRevision>(&response)?.store_revision,
+            ))),
+            // The status alone says that nothing was applied, so the body may be unreadable.
+            409 => Ok(Err(cbor::decode::<Failed>(&response.body)
+                .map(|body| body.failed)
                 .unwrap_or_default())),
-            400 if transaction.writes.iter().any(|c| {
+            400 if transaction.writes.iter().any(|write| {
                 matches!(
-                    c,
+                    write,
                     pulleywood_protocol::store::Write::Put {
                         lease_id: Some(_),
                         ..
@@ -258,47 +290,56 @@
         }
     }
 
-    /// Takes a new lease.
+    /// Creates a lease that expires `ttl` after its last renewal.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
+    /// Returns a [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
     pub fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.take(RequestPriority::Lease, 0)?;
+        self.take_tokens(RequestPriority::Lease, 0)?;
         let body = cbor::encode(&Ttl {
             ttl_ms: ttl.as_millis() as u64,
         });
-        let answer = self.send(&self.calls, "POST", "/grants", Some(&body), CALL_TIME)?;
-        Ok(read::<LeaseGranted>(&answer)?.lease_id)
+        let response = self.send(
+            &self.client,
+            "POST",
+            "/grants",
+            Some(&body),
+            REQUEST_TIMEOUT,
+        )?;
+        Ok(decode::<LeaseGranted>(&response)?.lease_id)
     }
 
-    /// Renews a lease.
+    /// Renews a lease for its full duration. The response must arrive within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`StoreError::NoLease`] if it has expired, else as any call.
-    pub fn renew(&self, lease_id: LeaseId, time: Duration) -> Result<(), StoreError> {
-        self.take(RequestPriority::Lease, 0)?;
+    /// Returns [`StoreError::NoLease`] if the lease has expired or was revoked, another
+    /// [`StoreError`] if it may still exist.
+    pub fn renew_lease(&self, lease_id: LeaseId, timeout: Duration) -> Result<(), StoreError> {
+        self.take_tokens(RequestPriority::Lease, 0)?;
         let path = format!("/grants/{lease_id}/renew");
         let empty = cbor::encode(&std::collections::BTreeMap::<String, u64>::new());
-        let answer = self.send(&self.calls, "POST", &path, Some(&empty), time)?;
-        match answer.status {
+        let response = self.send(&self.client, "POST", &path, Some(&empty), timeout)?;
+        match response.status {
             200 => Ok(()),
             404 => Err(StoreError::NoLease),
             status => Err(StoreError::Refused(status)),
         }
     }
 
-    /// Ends a lease; one that is already gone counts as ended.
+    /// Revokes a lease. Succeeds also if it no longer exists.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
-    pub fn end(&self, lease_id: LeaseId) -> Result<(), StoreError> {
-        self.take(RequestPriority::Lease, 0)?;
+    /// Returns a [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
+    pub fn revoke_lease(&self, lease_id: LeaseId) -> Result<(), StoreError> {
+        self.take_tokens(RequestPriority::Lease, 0)?;
         let path = format!("/grants/{lease_id}");
         match self
-            .send(&self.calls, "DELETE", &path, None, CALL_TIME)?
+            .send(&self.client, "DELETE", &path, None, REQUEST_TIMEOUT)?
             .status
         {
             200..=299 | 404 => Ok(()),
@@ -306,34 +347,44 @@
         }
     }
 
-    /// Waits for changes below a prefix.
+    /// Waits up to `wait` for changes of keys with a prefix after the revision `from`. The
+    /// result has no events if there were none.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: no tokens, refused, or no answer.
+    /// Returns [`StoreError::RevisionTooOld`] if all keys must be read again, and another
+    /// [`StoreError`] if tokens are lacking, the request is rejected or no valid
+    /// response arrives in time.
     pub fn watch(
         &self,
-        class: RequestPriority,
+        priority: RequestPriority,
         prefix: &str,
         from: u64,
         wait: Duration,
     ) -> Result<Events, StoreError> {
-        self.take(class, 0)?;
+        self.take_tokens(priority, 0)?;
         let path = format!(
             "/follow?starts={prefix}&from={from}&wait_ms={}",
             wait.as_millis()
         );
-        let answer = self.send(&self.watches, "GET", &path, None, wait + CALL_TIME)?;
-        if answer.status == 410 {
-            return Err(StoreError::TooOld);
+        let response = self.send(
+            &self.watch_client,
+            "GET",
+            &path,
+            None,
+            wait + REQUEST_TIMEOUT,
+        )?;
+        if response.status == 410 {
+            return Err(StoreError::RevisionTooOld);
         }
-        read(&answer)
+        decode(&response)
     }
 }
 
-fn read<T: DeserializeOwned>(answer: &Answer) -> Result<T, StoreError> {
-    if answer.status != 200 {
-        return Err(StoreError::Refused(answer.status));
+/// Decodes the body of a response with status 200.
+fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, StoreError> {
+    if response.status != 200 {
+        return Err(StoreError::Refused(response.status));
     }
-    cbor::decode(&answer.body).map_err(|e| StoreError::Unknown(e.to_string()))
+    cbor::decode(&response.body).map_err(|e| StoreError::OutcomeUnknown(e.to_string()))
 }
--- a/crates/pulleywood-transport/tests/budget.rs
+++ b/crates/pulleywood-transport/tests/budget.rs
@@ -7,9 +7,9 @@
 fn lower_priorities_leave_tokens_to_higher_ones() {
     let cases = [
         (RequestPriority::Housekeeping, 12),
-        (RequestPriority::Later, 14),
-        (RequestPriority::Done, 15),
-        (RequestPriority::Record, 16),
+        (RequestPriority::LowRankSubmission, 14),
+        (RequestPriority::JobCompletion, 15),
+        (RequestPriority::MachineRecord, 16),
         (RequestPriority::User, 18),
         (RequestPriority::ShardLeader, 19),
         (RequestPriority::Lease, 20),
@@ -83,16 +83,16 @@
         let mut kinds = [
             (RequestPriority::Lease, 0, 2000),
             (RequestPriority::ShardLeader, 2, 5000),
-            (RequestPriority::Done, 2, 2000),
+            (RequestPriority::JobCompletion, 2, 2000),
             (
                 RequestPriority::ShardLeader,
                 0,
                 millis(poll_intervals.watch),
             ),
             (
-                RequestPriority::Question,
+                RequestPriority::UserRead,
                 0,
-                millis(poll_intervals.question),
+                millis(poll_intervals.user_read),
             ),
             (RequestPriority::User, 1, 1),
         ]
@@ -125,7 +125,7 @@
             full.max(500),
             2000 + full,
             millis(poll_intervals.watch),
-            millis(poll_intervals.question),
+            millis(poll_intervals.user_read),
         ];
         for ((priority, call_writes, _, due, granted, longest), bound) in kinds.iter().zip(bounds) {
             assert!(*granted > 0, "{name}: no {priority:?}");
--- a/crates/pulleywood-transport/tests/cloud.rs
+++ b/crates/pulleywood-transport/tests/cloud.rs
@@ -3,7 +3,7 @@
 use pulleywood_protocol::MachineId;
 use pulleywood_protocol::cbor::Amount;
 use pulleywood_protocol::cloud::{Rental, RentalPage, RentalStatus};
-use pulleywood_transport::cloud::{CloudError, Listing};
+use pulleywood_transport::cloud::{CloudError, RentalListing};
 use pulleywood_transport::server::{Handler, Limits, Request, Response, serve};
 use pulleywood_transport::{Budget, CloudClient};
 use std::sync::Arc;
@@ -76,11 +76,11 @@
         let rate = 50.0;
         let budget = || Budget::new(rate, 0.0, f64::from(burst) / rate);
         let client = CloudClient::new(server.address, budget(), budget());
-        let mut listing = Listing::default();
+        let mut listing = RentalListing::default();
         let mut rounds = 0;
         let list = loop {
             rounds += 1;
-            match client.rentals(&mut listing) {
+            match client.read_rentals(&mut listing) {
                 Ok(Some(list)) => break list,
                 Ok(None) | Err(CloudError::Budget) => {}
                 Err(error) => panic!("{error}"),
