--- a/crates/pulleywood-transport/tests/cloud.rs
+++ b/crates/pulleywood-transport/tests/cloud.rs
@@ -1,4 +1,4 @@
-//! The machine list, read page by page within the cloud's rate.
+//! The list of rented machines, read page by page within the cloud's rate limit.
 
 use pulleywood_protocol::MachineId;
 use pulleywood_protocol::cbor::Amount;
@@ -10,30 +10,30 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A cloud that lists `machines` machines in pages and counts requests.
+/// A cloud that lists its machines in pages and counts the requests.
 struct PagedCloud {
-    machines: usize,
+    machine_count: usize,
     requests: Arc<AtomicUsize>,
 }
 
-fn name(n: usize) -> String {
-    format!("vm-{n:06}")
+fn machine_name(index: usize) -> String {
+    format!("vm-{index:06}")
 }
 
 impl Handler for PagedCloud {
     fn handle(&self, request: &Request<'_>) -> Response {
         self.requests.fetch_add(1, Ordering::Relaxed);
-        let field = |key: &str| {
+        let parameter = |name: &str| {
             let mut pairs = request.query.split('&').filter_map(|p| p.split_once('='));
-            pairs.find(|(k, _)| *k == key).map(|(_, v)| v)
+            pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
         };
-        let from = field("from").unwrap_or("");
-        let page: usize = field("page").unwrap().parse().unwrap();
-        let after = (0..self.machines).filter(|n| name(*n).as_str() > from);
+        let from = parameter("from").unwrap_or("");
+        let page_size: usize = parameter("page").unwrap().parse().unwrap();
+        let after = (0..self.machine_count).filter(|n| machine_name(*n).as_str() > from);
         let machines: Vec<Rental> = after
-            .take(page)
+            .take(page_size)
             .map(|n| Rental {
-                machine: MachineId::from(name(n).as_str()),
+                machine: MachineId::from(machine_name(n).as_str()),
                 endpoint: None,
                 flavor: "g4".into(),
                 zone: "a".into(),
@@ -42,17 +42,17 @@
                 age_s: Amount(9.0),
             })
             .collect();
-        let last = machines.last().map(|r| r.machine.to_string());
-        let more = last.is_some_and(|l| l != name(self.machines - 1));
+        let last = machines.last().map(|rental| rental.machine.to_string());
+        let more = last.is_some_and(|name| name != machine_name(self.machine_count - 1));
         Response::cbor(200, &RentalPage { machines, more })
     }
 }
 
 #[test]
-fn a_list_longer_than_a_burst_of_requests_is_read_in_several_rounds() {
-    // A round that runs out of tokens must not start again with the first page: a long list
-    // would never be complete.
-    // (machines, requests that a burst holds, whether one round is enough)
+fn a_list_with_more_pages_than_a_burst_has_tokens_is_read_in_several_calls() {
+    // Guards against a long list that is never complete, because each call that runs out of
+    // tokens starts again at the first page.
+    // (machines, requests that a burst allows, whether one call is enough)
     let cases = [
         (0, 4, true),
         (500, 4, true),
@@ -61,10 +61,10 @@
         (6000, 4, false),
         (6000, 40, true),
     ];
-    for (machines, burst, at_once) in cases {
+    for (machine_count, burst, in_one_call) in cases {
         let requests = Arc::new(AtomicUsize::new(0));
         let cloud = PagedCloud {
-            machines,
+            machine_count,
             requests: Arc::clone(&requests),
         };
         let server = serve(
@@ -77,23 +77,31 @@
         let budget = || Budget::new(rate, 0.0, f64::from(burst) / rate);
         let client = CloudClient::new(server.address, budget(), budget());
         let mut listing = RentalListing::default();
-        let mut rounds = 0;
-        let list = loop {
-            rounds += 1;
+        let mut calls = 0;
+        let rentals = loop {
+            calls += 1;
             match client.read_rentals(&mut listing) {
-                Ok(Some(list)) => break list,
+                Ok(Some(rentals)) => break rentals,
                 Ok(None) | Err(CloudError::Budget) => {}
                 Err(error) => panic!("{error}"),
             }
-            assert!(rounds < 10_000, "{machines}");
+            assert!(calls < 10_000, "{machine_count} machines");
             std::thread::sleep(Duration::from_millis(5));
         };
-        assert_eq!(list.len(), machines);
-        let in_order = (0..machines).all(|n| *list[n].machine.0 == *name(n));
-        assert!(in_order, "{machines}");
-        assert_eq!(rounds == 1, at_once, "{machines}, {burst}");
+        assert_eq!(rentals.len(), machine_count);
+        let in_order = (0..machine_count).all(|n| *rentals[n].machine.0 == *machine_name(n));
+        assert!(in_order, "{machine_count} machines");
+        assert_eq!(
+            calls == 1,
+            in_one_call,
+            "{machine_count} machines, burst of {burst}"
+        );
         // No page is read twice.
-        let pages = machines.div_ceil(500).max(1);
-        assert_eq!(requests.load(Ordering::Relaxed), pages, "{machines}");
+        let pages = machine_count.div_ceil(500).max(1);
+        assert_eq!(
+            requests.load(Ordering::Relaxed),
+            pages,
+            "{machine_count} machines"
+        );
     }
 }
