--- a/crates/pulleywood-transport/src/budget.rs
+++ b/crates/pulleywood-transport/src/budget.rs
@@ -23,7 +23,7 @@
     /// Reads that answer users' status requests. Most of them wait briefly for tokens.
     UserRead,
     /// Machine records, which launches wait for. Their priority is below that of users, so that
-    /// a wave of new machines does not cause the few users of that time to be refused.
+    /// users' requests are not refused while many new machines register.
     MachineRecord,
     /// Records of jobs that are done. Their users ask for the result some seconds later.
     JobCompletion,
@@ -61,7 +61,8 @@
 }
 
 impl PollIntervals {
-    /// Maximum fraction of the controller's rate for the watch, and for the reads likewise.
+    /// Maximum fraction of the controller's rate that the watch takes, and that the reads for
+    /// users take.
     pub const MAX_RATE_FRACTION: f64 = 0.3;
 
     /// Computes the intervals of a controller that may send `rps` requests per second.
@@ -93,8 +94,9 @@
     }
 }
 
-/// Tokens reserved for a request that waits for them. Without reservations, requests that need
-/// one token would take each as it is added, and a request that needs two would never get buckets.
+/// Tokens reserved for a request that waits for them. Requests of the same priority and number
+/// of writes share a reservation. Without reservations, requests that need one token would take
+/// each as it is added, and a request that needs two would never get both.
 #[derive(Debug, Clone, Copy)]
 struct Reservation {
     priority: RequestPriority,
@@ -110,8 +112,8 @@
     /// How long a reservation is kept after the request was expected to try again. A request
     /// that has not done so by then has been given up.
     const RETRY_GRACE: Duration = Duration::from_millis(500);
-    /// A request that has waited for this long has precedence over all others but leases, so
-    /// that it is not starved by a higher priority.
+    /// A request that has waited for this long precedes all others but leases and those that
+    /// have waited longer, so that higher priorities do not starve it.
     const AGING_THRESHOLD: Duration = Duration::from_secs(2);
 
     /// Whether a request of `priority` that has waited since `since` must leave the reserved
@@ -162,17 +164,17 @@
     }
 
     /// Time until `count` tokens can be taken; `None` if they can be taken now. The fraction
-    /// `reserved_fraction` of the bucket and the tokens of `reservations` must remain. A request
-    /// for more tokens than the bucket holds waits until it is full and leaves a debt, since it
-    /// would wait forever for tokens that never fit into the bucket.
+    /// `reserved_fraction` of the bucket must remain, and so must `reserved_tokens` for requests
+    /// that come first. A request for more tokens than the bucket holds waits until it is full
+    /// and leaves a debt: otherwise it would wait forever.
     fn time_until_available(
         &self,
         count: f64,
         reserved_fraction: f64,
-        reservations: f64,
+        reserved_tokens: f64,
     ) -> Option<Duration> {
         let needed = (count + reserved_fraction * self.burst).min(self.burst);
-        let needed = needed.max(count.min(self.burst) + reservations.min(self.burst));
+        let needed = needed.max(count.min(self.burst) + reserved_tokens.min(self.burst));
         (self.tokens < needed)
             .then(|| Duration::from_secs_f64(((needed - self.tokens) / self.rate).min(60.0)))
     }
@@ -241,8 +243,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time after which there may be enough tokens. Unless the priority does not
-    /// wait, the tokens are then reserved for a while for the same priority and number of writes.
+    /// Returns the time after which there may be enough tokens. If the priority waits for
+    /// tokens, they are reserved until shortly after that time.
     pub fn take(&self, priority: RequestPriority, writes: u32) -> Result<(), Duration> {
         self.take_at(Instant::now(), priority, writes)
     }
--- a/crates/pulleywood-transport/src/cloud.rs
+++ b/crates/pulleywood-transport/src/cloud.rs
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct CloudClient {
     client: Client,
-    /// For reading machine types, which every controller does.
+    /// For the requests that every controller sends: reading the machine types.
     controller_budget: Budget,
     /// For the requests that only the coordinator sends.
     coordinator_budget: Budget,
--- a/crates/pulleywood-transport/src/peer.rs
+++ b/crates/pulleywood-transport/src/peer.rs
@@ -70,7 +70,8 @@
     }
 }
 
-/// Client of one other controller. It makes one call at a time over a persistent connection.
+/// Client of one other controller. It keeps one connection open between calls; a call that
+/// starts while another uses it opens its own.
 #[derive(Debug)]
 pub struct PeerClient {
     addr: SocketAddr,
--- a/crates/pulleywood-transport/src/server/admission.rs
+++ b/crates/pulleywood-transport/src/server/admission.rs
@@ -15,8 +15,8 @@
     parking_enabled: bool,
 }
 
-/// Counts one request against the limit on user requests until it is dropped. `None` for
-/// requests to which that limit does not apply.
+/// Counts one request against the limit on user requests until it is dropped. `None` if the
+/// request is not subject to that limit.
 pub struct AdmittedRequest<'a>(Option<&'a AtomicUsize>);
 
 impl Drop for AdmittedRequest<'_> {
--- a/crates/pulleywood-transport/src/server/connection.rs
+++ b/crates/pulleywood-transport/src/server/connection.rs
@@ -60,7 +60,7 @@
     Reject(u16),
     /// The client closed the connection.
     Closed,
-    /// The request is incomplete, and threads are too scarce to wait for the rest.
+    /// No complete request has arrived, and threads are too scarce to wait longer.
     Park,
 }
 
--- a/crates/pulleywood-transport/src/server/mod.rs
+++ b/crates/pulleywood-transport/src/server/mod.rs
@@ -92,7 +92,7 @@
     /// A health check. Its connections are closed like a user's, but its requests may occupy
     /// any thread.
     HealthCheck,
-    /// A worker, whose lease expires, and with it its tasks, if its heartbeats are not answered.
+    /// A worker. If its heartbeats are not answered, its lease expires and its tasks are lost.
     /// Its connections are closed after each response only while fewer than one in seven of the
     /// allowed connections are free, so that the next client finds a free one.
     Worker,
@@ -112,7 +112,7 @@
     /// Returns the response to a request. Called from several threads at a time.
     fn handle(&self, request: &Request<'_>) -> Response;
 
-    /// Returns which kind of client sends such a request.
+    /// Returns the kind of client that sends such a request.
     fn client_kind(&self, _request: &Request<'_>) -> ClientKind {
         ClientKind::User
     }
@@ -163,7 +163,7 @@
     }
 }
 
-/// A running server. It runs until the process ends, also if this handle is dropped.
+/// A running server. It runs until the process ends, even if this handle is dropped.
 #[derive(Debug, Clone)]
 pub struct Server {
     /// Address that the server listens on, with the port that the system chose if 0 was given.
--- a/crates/pulleywood-transport/src/store.rs
+++ b/crates/pulleywood-transport/src/store.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct StoreClient {
     client: Client,
-    /// Separate connections for watches, which stay open for long.
+    /// Separate connections for watches, whose responses the service delays until a change.
     watch_client: Client,
     budget: Budget,
     started: Instant,
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Revokes a lease. Succeeds also if it no longer exists.
+    /// Revokes a lease. Also succeeds if the lease no longer exists.
     ///
     /// # Errors
     ///
