--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -12,7 +12,7 @@
 /// the first read.
 pub fn ready(context: &ControllerContext) -> Response {
     let now = context.clock.now();
-    let store_answers = context.store.answers();
+    let store_answers = context.store.is_available();
     let controller = context.controller.lock();
     let started = controller.cache_loaded
         && controller.cached.layout.is_some()
@@ -23,6 +23,6 @@
     if started && !cut_off {
         Response::status(200)
     } else {
-        Response::later(503, 1)
+        Response::retry_later(503, 1)
     }
 }
--- a/crates/pulleywood-controller/src/shard/load.rs
+++ b/crates/pulleywood-controller/src/shard/load.rs
@@ -43,7 +43,7 @@
 }
 
 /// Reads the records, with retries as long as this controller leads the shard. `None` if it
-/// no longer leads the shard, or if a read failed with [`StoreError::TooOld`].
+/// no longer leads the shard, or if a read failed with [`StoreError::RevisionTooOld`].
 fn read_with_retries(
     context: &ControllerContext,
     shard: ShardId,
@@ -52,7 +52,7 @@
     loop {
         match read_records(context) {
             Ok(records) => return Some(records),
-            Err(StoreError::TooOld) => return None,
+            Err(StoreError::RevisionTooOld) => return None,
             Err(e) => {
                 log::debug!("failed to read the records of shard {shard}: {e}");
                 std::thread::sleep(RETRY_PAUSE);
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -103,7 +103,9 @@
         context.registrations.wait();
         std::thread::sleep(BATCHING_WINDOW);
         // Machines that arrive before the tokens are granted join the same transaction.
-        let tokens = context.store.take(RequestPriority::Record, WRITE_TOKENS);
+        let tokens = context
+            .store
+            .take_tokens(RequestPriority::MachineRecord, WRITE_TOKENS);
         let max_machines = context.controller.lock().config.machines_per_batch();
         let waiting = context.registrations.take(max_machines);
         match tokens {
@@ -137,7 +139,7 @@
         if attempt > 0
             && context
                 .store
-                .take(RequestPriority::Record, WRITE_TOKENS)
+                .take_tokens(RequestPriority::MachineRecord, WRITE_TOKENS)
                 .is_err()
         {
             break;
@@ -173,7 +175,7 @@
 /// Reads the changes in the store: other controllers write machine batches too, and a
 /// transaction that is conditioned on an old head is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::changes(context, RequestPriority::Record, Duration::ZERO) {
+    if let Err(e) = watch::changes(context, RequestPriority::MachineRecord, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -140,7 +140,7 @@
         }
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
             match outcome {
-                Err(StoreError::Unknown(_)) => led.state.doubt_offer(&self.id),
+                Err(StoreError::OutcomeUnknown(_)) => led.state.doubt_offer(&self.id),
                 // The transaction was not applied and never will be.
                 _ => led.state.withdraw_offer(&self.id),
             }
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -100,7 +100,7 @@
     /// Makes the next digest that this controller sends to its peers.
     pub fn digest(&self) -> Digest {
         let now = self.clock.now();
-        let state_ok = self.store.answers();
+        let state_ok = self.store.is_available();
         let mut controller = self.controller.lock();
         Digest {
             member: self.controller_id.clone(),
