--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -9,7 +9,8 @@
 use pulleywood_protocol::time::secs;
 use pulleywood_protocol::{FencingToken, JobId, MachineId, MonotonicTime};
 use pulleywood_recovery::evidence::{
-    Blocks, CloudEvidence, Evidence, Heard, StoredShard, StoredState, Unreadable,
+    BlockedScope, CloudEvidence, Evidence, ReceivedHeartbeat, StoredShard, StoredState,
+    UnreadableRecord,
 };
 use pulleywood_recovery::report::Report;
 use pulleywood_recovery::task_class::TaskClass;
@@ -81,15 +82,15 @@
 fn evidence<'a>(
     config: &'a Config,
     stored: &'a StoredState,
-    heard: &'a BTreeMap<MachineId, Heard>,
+    heard: &'a BTreeMap<MachineId, ReceivedHeartbeat>,
     lapsed: &'a BTreeSet<MachineId>,
     cloud: Option<&'a CloudEvidence>,
 ) -> Evidence<'a> {
     Evidence {
         config,
         stored,
-        heard,
-        expired: lapsed,
+        heartbeats: heard,
+        expired_leases: lapsed,
         cloud,
         now: MonotonicTime(0),
     }
@@ -138,7 +139,7 @@
         Err(e) => log::warn!("failed to read the machine types: {e}"),
     }
     let mut evidence = CloudEvidence::new(secs(settings.cluster.cloud.list_lag_s));
-    evidence.take(
+    evidence.update(
         &read_rentals(&client)?,
         std::iter::empty(),
         MonotonicTime(0),
@@ -174,7 +175,7 @@
 }
 
 /// Asks every recorded worker for its heartbeat.
-fn read_heartbeats(stored: &StoredState) -> BTreeMap<MachineId, Heard> {
+fn read_heartbeats(stored: &StoredState) -> BTreeMap<MachineId, ReceivedHeartbeat> {
     let machines = Mutex::new(stored.machines.iter());
     let heard = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
@@ -187,10 +188,14 @@
                     match cloud::show(addr, WORKER_TIMEOUT) {
                         Ok(heartbeat) if heartbeat.machine == *id => {
                             let fencing_token = present_fencing_token(stored, record);
-                            let current = heartbeat.fencing_token >= fencing_token;
-                            heard
-                                .lock()
-                                .insert(id.clone(), Heard { heartbeat, current });
+                            let is_current = heartbeat.fencing_token >= fencing_token;
+                            heard.lock().insert(
+                                id.clone(),
+                                ReceivedHeartbeat {
+                                    heartbeat,
+                                    is_current,
+                                },
+                            );
                         }
                         Ok(other) => log::warn!("found {} at the address of {id}", other.machine),
                         Err(e) => log::info!("failed to ask {id} for its heartbeat: {e}"),
@@ -217,12 +222,12 @@
         let live = job_key(id.shard(stored.shard_count), &id);
         if retry(|| store.get(RequestPriority::Lease, &live))?.is_some() {
             // Accepted since the list was read: nothing is known against it.
-            stored.unreadable.push(Unreadable {
+            stored.unreadable.push(UnreadableRecord {
                 key: live,
-                blocks: Blocks::Job(id),
+                blocks: BlockedScope::Job(id),
             });
         } else if retry(|| store.get(RequestPriority::Lease, &final_key(&id)))?.is_some() {
-            stored.closed.insert(id);
+            stored.closed_jobs.insert(id);
         }
     }
     Ok(())
--- a/crates/pulleywood-controller/src/policy.rs
+++ b/crates/pulleywood-controller/src/policy.rs
@@ -161,8 +161,8 @@
     defaults.set(SICK_JOBS, policy.core.sick_jobs)?;
     let subsystem = lua.create_table()?;
     let mut levers = policy.recovery.clone().unwrap_or_default();
-    for lever in recovery::LEVERS {
-        subsystem.set(lever.name, *(lever.slot)(&mut levers))?;
+    for lever in recovery::POLICY_SETTINGS {
+        subsystem.set(lever.name, *(lever.field)(&mut levers))?;
     }
     defaults.set(RECOVERY, subsystem)?;
     lua.globals().set("defaults", defaults)?;
@@ -274,16 +274,16 @@
         for pair in table.pairs::<String, Value>() {
             let (name, value) = pair.map_err(|e| PolicyError::Script(self.name.to_owned(), e))?;
             let key = format!("{RECOVERY}.{name}");
-            let Some(lever) = recovery::LEVERS.iter().find(|l| l.name == name) else {
-                let known = recovery::LEVERS.iter().map(|l| l.name);
+            let Some(lever) = recovery::POLICY_SETTINGS.iter().find(|l| l.name == name) else {
+                let known = recovery::POLICY_SETTINGS.iter().map(|l| l.name);
                 return self.unknown(&key, "no such lever", known);
             };
-            let number = if lever.whole {
-                self.whole(&key, &value, lever.least, lever.most)?
+            let number = if lever.is_integer {
+                self.whole(&key, &value, lever.min, lever.max)?
             } else {
-                self.number(&key, &value, lever.least, lever.most)?
+                self.number(&key, &value, lever.min, lever.max)?
             };
-            *(lever.slot)(policy) = number;
+            *(lever.field)(policy) = number;
         }
         Ok(())
     }
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -9,7 +9,7 @@
 use pulleywood_protocol::record::Key;
 use pulleywood_protocol::store::Item;
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, Revision, ShardId};
-use pulleywood_recovery::audit::{Finding, Holdings, Missing};
+use pulleywood_recovery::audit::{AuditedState, Discrepancy, Finding};
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,9 @@
     /// One step of the standing audit, if tokens are to spare.
     pub(super) fn audit(&mut self, context: &Arc<ControllerContext>) -> Result<(), StoreError> {
         let now = context.clock.now();
-        if self.policy.slice() == 0 || now.since(self.audited) < self.policy.audit_every() {
+        if self.policy.audit_slice_size() == 0
+            || now.since(self.audited) < self.policy.audit_interval()
+        {
             return Ok(());
         }
         self.audited = now;
@@ -27,7 +29,7 @@
             if !controller.is_cached || !controller.may_act(now) {
                 return Ok(());
             }
-            self.audit.next(&*controller)
+            self.audit.next_slice(&*controller)
         };
         let Some(next) = next else {
             return Ok(());
@@ -37,14 +39,14 @@
             RequestPriority::Housekeeping,
             next.prefix,
             &next.after,
-            self.policy.slice(),
+            self.policy.audit_slice_size(),
         )?;
         // What the slice shows was committed before: the watch has it by then.
         watch::changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
         let findings = {
             let controller = context.controller.lock();
             self.audit
-                .take(&page.items, page.more, page.store_revision, &*controller)
+                .compare_slice(&page.items, page.more, page.store_revision, &*controller)
         };
         for finding in &findings {
             take_up(context, finding);
@@ -68,7 +70,7 @@
     }
 }
 
-impl Holdings for ControllerState {
+impl AuditedState for ControllerState {
     fn revision(&self) -> u64 {
         self.cached.store_revision
     }
@@ -77,26 +79,26 @@
         self.cached.shard_count().unwrap_or(0)
     }
 
-    fn holds(&self, shard: ShardId) -> bool {
+    fn has_loaded(&self, shard: ShardId) -> bool {
         self.led_shards.get(&shard).is_some_and(|led| led.loaded)
     }
 
-    fn knows_job(&self, job: &JobId) -> bool {
+    fn is_job_cached(&self, job: &JobId) -> bool {
         self.cached.jobs.contains_key(job)
     }
 
-    fn has_job(&self, shard: ShardId, job: &JobId) -> bool {
+    fn shard_has_job(&self, shard: ShardId, job: &JobId) -> bool {
         let led = self.led_shards.get(&shard);
         led.is_some_and(|led| {
             led.state.jobs.contains_key(job) || led.state.unreadable_jobs.contains(job)
         })
     }
 
-    fn knows_machine(&self, machine: &MachineId) -> bool {
+    fn is_machine_cached(&self, machine: &MachineId) -> bool {
         self.cached.machines.contains_key(machine)
     }
 
-    fn has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
+    fn shard_has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
         let led = self.led_shards.get(&shard);
         led.is_some_and(|led| led.state.machines.contains_key(machine))
     }
@@ -107,26 +109,26 @@
 
 /// Takes up what the audit found, by the paths that the watch takes.
 fn take_up(context: &ControllerContext, finding: &Finding) {
-    let (missing, key) = (&finding.missing, &finding.item.path);
-    if !missing.can_be_taken_up() {
-        tracing::error!("audit: {missing:?} in {key}: nobody can take this up");
+    let (discrepancy, key) = (&finding.discrepancy, &finding.item.path);
+    if !discrepancy.is_repairable() {
+        tracing::error!("audit: {discrepancy:?} in {key}: nobody can take this up");
         return;
     }
-    tracing::error!("audit: {missing:?} in {key}: taken up");
+    tracing::error!("audit: {discrepancy:?} in {key}: taken up");
     let now = context.clock.now();
-    match missing {
-        Missing::JobInView(id) | Missing::Job(_, id) => {
+    match discrepancy {
+        Discrepancy::JobNotCached(id) | Discrepancy::JobNotInShard(_, id) => {
             let mut controller = context.controller.lock();
             controller.take_up_job(id, &finding.item, now);
             controller.hold_launches(std::slice::from_ref(id), now + VERIFY_TIME);
             drop(controller);
             verify_job(context, id, &finding.item);
         }
-        Missing::MachineInView(id) | Missing::Machine(_, id) => {
+        Discrepancy::MachineNotCached(id) | Discrepancy::MachineNotInShard(_, id) => {
             let mut controller = context.controller.lock();
             controller.take_up_machine(id, &finding.item, now);
         }
-        Missing::JobShard(..) | Missing::MachineShard(..) => {}
+        Discrepancy::JobInUnknownShard(..) | Discrepancy::MachineInUnknownShard(..) => {}
     }
 }
 
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -9,7 +9,7 @@
 use pulleywood_protocol::record::{COORDINATOR_LEASE, FencingTokenCounter};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{FencingToken, MachineId, MonotonicTime, Revision, ShardId};
-use pulleywood_recovery::counter::{self, CounterDecision, Shown};
+use pulleywood_recovery::counter::{self, CounterDecision, ObservedToken};
 use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
             let now = began;
             controller
                 .shown_fencing_tokens
-                .retain(|_, shown| now.since(shown.at) < SHOWN_TIME);
+                .retain(|_, shown| now.since(shown.received_at) < SHOWN_TIME);
             if controller.shown_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
@@ -44,7 +44,7 @@
             value: counter,
             revision,
         } = newest_fencing_token(context)?;
-        let gap = self.policy.most_fencing_token_gap as u64;
+        let gap = self.policy.max_fencing_token_gap as u64;
         match counter::decide(&shown, counter, began, gap) {
             CounterDecision::Raise { to, machine } => {
                 raise_counter(context, &machine, (counter, to), revision)
@@ -64,7 +64,7 @@
                     .remove(&machine);
                 Ok(())
             }
-            CounterDecision::Covered => self.reacquire_shards(context, &shown, began),
+            CounterDecision::Sufficient => self.reacquire_shards(context, &shown, began),
         }
     }
 
@@ -74,13 +74,13 @@
     fn reacquire_shards(
         &mut self,
         context: &Arc<ControllerContext>,
-        shown: &BTreeMap<MachineId, Shown>,
+        shown: &BTreeMap<MachineId, ObservedToken>,
         began: MonotonicTime,
     ) -> Result<(), StoreError> {
         let mut behind: Vec<ShardId> = Vec::new();
         {
             let mut controller = context.controller.lock();
-            for (id, shown) in shown.iter().filter(|(_, s)| s.at < began) {
+            for (id, shown) in shown.iter().filter(|(_, s)| s.received_at < began) {
                 match controller.obeys_lost_fencing_token(id, shown.fencing_token) {
                     Some(shard) => behind.push(shard),
                     None => drop(controller.shown_fencing_tokens.remove(id)),
--- a/crates/pulleywood-controller/src/recovery/mod.rs
+++ b/crates/pulleywood-controller/src/recovery/mod.rs
@@ -9,8 +9,8 @@
 use pulleywood_protocol::{MonotonicTime, ShardId};
 use pulleywood_recovery::RecoveryPolicy;
 use pulleywood_recovery::audit::Audit;
-use pulleywood_recovery::gate::gate;
-use pulleywood_recovery::progress::{Phase, Progress, Transition};
+use pulleywood_recovery::fetch_gate::fetch_gate;
+use pulleywood_recovery::progress::{Phase, PhaseTransition, RecoveryProgress};
 use pulleywood_scheduler::shard::snapshot::ShardSnapshot;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 /// What the thread remembers between rounds.
 struct Recovery {
     policy: RecoveryPolicy,
-    progress: Progress,
+    progress: RecoveryProgress,
     spans: BTreeMap<ShardId, tracing::Span>,
     audit: Audit,
     audited: MonotonicTime,
@@ -37,7 +37,7 @@
     };
     let mut recovery = Recovery {
         policy,
-        progress: Progress::default(),
+        progress: RecoveryProgress::default(),
         spans: BTreeMap::new(),
         audit: Audit::default(),
         audited: context.clock.now(),
@@ -76,12 +76,14 @@
                 }
                 let since = self.progress.recovering_since(*shard);
                 led.state.fetch_gate = match (snapshot, since) {
-                    (Some(snapshot), Some(since)) => gate(&self.policy, &snapshot, since, now),
+                    (Some(snapshot), Some(since)) => {
+                        fetch_gate(&self.policy, &snapshot, since, now)
+                    }
                     _ => None,
                 };
             }
             self.progress
-                .keep(|shard| controller.led_shards.contains_key(&shard));
+                .retain_led(|shard| controller.led_shards.contains_key(&shard));
             self.spans
                 .retain(|shard, _| controller.led_shards.contains_key(shard));
         }
@@ -91,8 +93,8 @@
     }
 
     /// One span a shard and a phase: it ends with the phase.
-    fn log_transition(&mut self, transition: &Transition, snapshot: Option<&ShardSnapshot>) {
-        let Transition {
+    fn log_transition(&mut self, transition: &PhaseTransition, snapshot: Option<&ShardSnapshot>) {
+        let PhaseTransition {
             shard,
             fencing_token,
             to,
@@ -103,8 +105,8 @@
             let numbers = snapshot.cloned().unwrap_or_default();
             tracing::info!(
                 from = ?transition.from,
-                after_ms = transition.lasted.as_millis() as u64,
-                total_ms = transition.total.as_millis() as u64,
+                after_ms = transition.previous_duration.as_millis() as u64,
+                total_ms = transition.since_acquired.as_millis() as u64,
                 machines = numbers.machines,
                 confirmed = numbers.confirmed,
                 unreported = numbers.unreported,
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -7,7 +7,7 @@
 use pulleywood_protocol::{
     FencingToken, JobId, JobSpec, MachineId, MemberId, MonotonicTime, Revision, ShardId,
 };
-use pulleywood_recovery::counter::Shown;
+use pulleywood_recovery::counter::ObservedToken;
 use pulleywood_scheduler::machine_types::MachineTypeDemand;
 use pulleywood_scheduler::{Config, shard_selection};
 use std::collections::{BTreeMap, VecDeque};
@@ -86,7 +86,7 @@
     /// to another shard and would then run in both.
     pub own_writes: BTreeMap<JobId, Revision>,
     /// Fencing tokens above their shard's that machines of led shards showed.
-    pub shown_fencing_tokens: BTreeMap<MachineId, Shown>,
+    pub shown_fencing_tokens: BTreeMap<MachineId, ObservedToken>,
     /// Machine types that waiting work of all shards could use lately.
     pub(super) choices: MachineTypeDemand,
     /// Boot numbers of peers' processes that newer ones have replaced.
@@ -191,9 +191,9 @@
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) {
-        let shown = Shown {
+        let shown = ObservedToken {
             fencing_token,
-            at: now,
+            received_at: now,
         };
         self.shown_fencing_tokens.insert(machine.clone(), shown);
     }
--- a/crates/pulleywood-controller/tests/settings.rs
+++ b/crates/pulleywood-controller/tests/settings.rs
@@ -148,7 +148,7 @@
     .unwrap();
     let double = "return { recovery = { audit_slice = defaults.recovery.audit_slice * 2 } }";
     let second = run(double, first).unwrap();
-    assert_eq!(second.recovery.unwrap().slice(), 14);
+    assert_eq!(second.recovery.unwrap().audit_slice_size(), 14);
     let invalid = [
         ("return { recovery = 5 }", "recovery: must be a table"),
         ("return { recovry = {} }", "did you mean `recovery`"),
--- a/crates/pulleywood-recovery/src/audit.rs
+++ b/crates/pulleywood-recovery/src/audit.rs
@@ -1,9 +1,9 @@
-//! The audit: the store is read in slices at a low rate and compared with the state of this
-//! controller.
+//! Background audit that reads the store in slices at a low rate and compares each slice
+//! with the state of this controller.
 //!
-//! A record that is missing there is a finding only if it is missing at two reads of the
-//! same slice. The second read waits until the cached state has reached the store revision
-//! of the first, so that a record which the watch had not yet delivered is no finding.
+//! A discrepancy becomes a finding only if two reads of the same slice show it. The second
+//! read waits until the cached state has reached the store revision of the first, so that a
+//! record which the watch had not yet delivered is not reported.
 
 use pulleywood_protocol::job_batch::JobBatchRecord;
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
@@ -12,144 +12,151 @@
 use pulleywood_protocol::{JobId, MachineId, Revision, ShardId, cbor};
 use std::collections::BTreeMap;
 
-/// Key prefixes that are audited, in this order.
+/// Key prefixes to audit, in this order.
 const AUDITED_PREFIXES: [&str; 3] = [JOB_BATCHES, JOBS, MACHINE_BATCHES];
 
-/// The controller state that the audit compares with the store.
-pub trait Holdings {
+/// The part of a controller's state that the audit compares with the store.
+pub trait AuditedState {
     /// The store revision up to which the cached state is complete.
     fn revision(&self) -> u64;
-    /// Number of shards.
+    /// Number of shards in the layout; 0 if the layout has not been read.
     fn shard_count(&self) -> u32;
-    /// Whether this controller leads the shard and has loaded it.
-    fn holds(&self, shard: ShardId) -> bool;
-    /// Whether the cached state has the job as live.
-    fn knows_job(&self, job: &JobId) -> bool;
-    /// Whether the state of the shard has the job.
-    fn has_job(&self, shard: ShardId, job: &JobId) -> bool;
-    /// Whether the cached state has the machine.
-    fn knows_machine(&self, machine: &MachineId) -> bool;
-    /// Whether the state of the shard has the machine.
-    fn has_machine(&self, shard: ShardId, machine: &MachineId) -> bool;
+    /// Whether this controller leads the shard and has loaded its records.
+    fn has_loaded(&self, shard: ShardId) -> bool;
+    /// Whether the cached state lists the job as live.
+    fn is_job_cached(&self, job: &JobId) -> bool;
+    /// Whether the loaded state of the shard contains the job.
+    fn shard_has_job(&self, shard: ShardId, job: &JobId) -> bool;
+    /// Whether the cached state contains the machine.
+    fn is_machine_cached(&self, machine: &MachineId) -> bool;
+    /// Whether the loaded state of the shard contains the machine.
+    fn shard_has_machine(&self, shard: ShardId, machine: &MachineId) -> bool;
 }
 
-/// A stored record that is missing from the controller's state, or names an unknown shard.
+/// A difference between a stored record and the controller's state.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Missing {
-    /// A live job is missing from the cached state: users would get 404 for it.
-    JobInView(JobId),
-    /// A live job is missing from the state of a shard that runs tasks of it.
-    Job(ShardId, JobId),
-    /// A job's tasks belong to a shard that does not exist.
-    JobShard(ShardId, JobId),
-    /// A machine is missing from the cached state.
-    MachineInView(MachineId),
-    /// A machine is missing from the state of its shard.
-    Machine(ShardId, MachineId),
-    /// A machine belongs to a shard that does not exist.
-    MachineShard(ShardId, MachineId),
+pub enum Discrepancy {
+    /// A live job is not in the cached state, so users would get 404 for it.
+    JobNotCached(JobId),
+    /// A live job is not in the loaded state of a shard that runs some of its tasks.
+    JobNotInShard(ShardId, JobId),
+    /// The record assigns tasks of a live job to a shard that does not exist.
+    JobInUnknownShard(ShardId, JobId),
+    /// A machine is not in the cached state.
+    MachineNotCached(MachineId),
+    /// A machine is not in the loaded state of its shard.
+    MachineNotInShard(ShardId, MachineId),
+    /// The record assigns a machine to a shard that does not exist.
+    MachineInUnknownShard(ShardId, MachineId),
 }
 
-impl Missing {
-    /// Whether the leader can repair it by loading the record; otherwise the operator must.
-    pub fn can_be_taken_up(&self) -> bool {
-        !matches!(self, Missing::JobShard(..) | Missing::MachineShard(..))
+impl Discrepancy {
+    /// Whether the controller can repair it by loading the record. If not, an operator has
+    /// to correct the stored record.
+    pub fn is_repairable(&self) -> bool {
+        !matches!(
+            self,
+            Discrepancy::JobInUnknownShard(..) | Discrepancy::MachineInUnknownShard(..)
+        )
     }
 }
 
-/// A record that was missing at both reads.
+/// A discrepancy that both reads of a slice showed.
 #[derive(Debug, Clone)]
 pub struct Finding {
-    /// What is missing.
-    pub missing: Missing,
+    /// The discrepancy.
+    pub discrepancy: Discrepancy,
     /// The stored record as of the second read.
     pub item: Item,
 }
 
-/// The slice to read next.
+/// A slice of the store to read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NextRead {
-    /// Prefix of its keys.
+pub struct SliceRequest {
+    /// Key prefix to list.
     pub prefix: &'static str,
-    /// Key after which it begins.
+    /// Start after this key; empty for the first slice of the prefix.
     pub after: String,
-    /// Whether this is the second read of the previous slice.
-    pub second: bool,
+    /// Whether the previous slice is read again, to confirm its discrepancies.
+    pub is_second_read: bool,
 }
 
-/// Counters of the audit, for operators.
+/// Counters of the audit since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AuditCounts {
     /// Slices read, second reads included.
     pub slices: u64,
-    /// Keys compared.
+    /// Keys whose comparison is complete; those read twice count once.
     pub keys: u64,
     /// Complete passes over the audited keys.
     pub passes: u64,
-    /// Records missing at a first read.
+    /// Discrepancies at a first read.
     pub suspects: u64,
-    /// Records missing at both reads.
+    /// Discrepancies at both reads.
     pub findings: u64,
 }
 
-/// The position of the audit and its open suspects.
+/// Position of the audit, and the discrepancies that await a second read.
 #[derive(Debug, Default)]
 pub struct Audit {
     /// Index into [`AUDITED_PREFIXES`].
     prefix_index: usize,
     /// Key after which the next slice begins.
     after: String,
-    /// Records missing at the first read, with their revisions.
-    suspects: BTreeMap<(Missing, String), Revision>,
-    /// The store revision of the first read, which the cached state must reach before the
-    /// second one.
+    /// Discrepancies at the first read with the key of the record, and the revision at
+    /// which the record was read.
+    suspects: BTreeMap<(Discrepancy, String), Revision>,
+    /// Store revision of the first read. The cached state must reach it before the second
+    /// read.
     first_read_revision: u64,
     counts: AuditCounts,
 }
 
 impl Audit {
     /// The slice to read next; `None` while the cached state is older than the first read.
-    pub fn next(&self, held: &impl Holdings) -> Option<NextRead> {
-        let second = !self.suspects.is_empty();
-        if second && held.revision() < self.first_read_revision {
+    pub fn next_slice(&self, state: &impl AuditedState) -> Option<SliceRequest> {
+        let is_second_read = !self.suspects.is_empty();
+        if is_second_read && state.revision() < self.first_read_revision {
             return None;
         }
-        Some(NextRead {
+        Some(SliceRequest {
             prefix: AUDITED_PREFIXES[self.prefix_index],
             after: self.after.clone(),
-            second,
+            is_second_read,
         })
     }
 
-    /// The counters since the start.
+    /// The counters since the process started.
     pub fn counts(&self) -> AuditCounts {
         self.counts
     }
 
-    /// Compares a slice with the controller's state and returns what was missing at both
-    /// reads. `revision`: store revision of the read; `more`: further keys of the prefix
+    /// Compares a slice with the controller's state and returns the discrepancies that both
+    /// reads showed.
+    ///
+    /// `revision`: store revision of the read. `more`: whether further keys of the prefix
     /// follow.
-    pub fn take(
+    pub fn compare_slice(
         &mut self,
         items: &[Item],
         more: bool,
         revision: u64,
-        held: &impl Holdings,
+        state: &impl AuditedState,
     ) -> Vec<Finding> {
         self.counts.slices += 1;
         let suspects = std::mem::take(&mut self.suspects);
-        let second = !suspects.is_empty();
+        let is_second_read = !suspects.is_empty();
         let mut findings = Vec::new();
         for item in items {
-            for missing in compare(item, held) {
-                let key = (missing, item.path.clone());
-                // A record that changed between the two reads is no finding.
+            for discrepancy in compare(item, state) {
+                let key = (discrepancy, item.path.clone());
+                // Ignores a record that changed between the two reads.
                 match suspects.get(&key) {
                     Some(revision) if *revision == item.revision => findings.push(Finding {
-                        missing: key.0,
+                        discrepancy: key.0,
                         item: item.clone(),
                     }),
-                    _ if second => {}
+                    _ if is_second_read => {}
                     _ => drop(self.suspects.insert(key, item.revision)),
                 }
             }
@@ -180,56 +187,56 @@
     }
 }
 
-fn compare(item: &Item, held: &impl Holdings) -> Vec<Missing> {
+fn compare(item: &Item, state: &impl AuditedState) -> Vec<Discrepancy> {
     match Key::parse(&item.path) {
         Some(Key::Job(_, _, 0)) => match cbor::from_value::<JobRecord>(&item.value) {
-            Ok(record) => compare_job(&record, held),
+            Ok(record) => compare_job(&record, state),
             Err(_) => Vec::new(),
         },
         Some(Key::JobBatch(_)) => {
             let batch = JobBatchRecord::from_value(&item.value).unwrap_or_default();
             let jobs = batch.jobs.iter();
-            jobs.flat_map(|record| compare_job(record, held)).collect()
+            jobs.flat_map(|record| compare_job(record, state)).collect()
         }
         Some(Key::MachineBatch(_)) => {
             let batch = MachineBatchRecord::from_value(&item.value).unwrap_or_default();
             let machines = batch.machines.iter();
             machines
-                .flat_map(|(id, record)| compare_machine(id, record.shard, held))
+                .flat_map(|(id, record)| compare_machine(id, record.shard, state))
                 .collect()
         }
         _ => Vec::new(),
     }
 }
 
-fn compare_machine(id: &MachineId, shard: ShardId, held: &impl Holdings) -> Vec<Missing> {
-    let mut missing = Vec::new();
-    if !held.knows_machine(id) {
-        missing.push(Missing::MachineInView(id.clone()));
+fn compare_machine(id: &MachineId, shard: ShardId, state: &impl AuditedState) -> Vec<Discrepancy> {
+    let mut discrepancies = Vec::new();
+    if !state.is_machine_cached(id) {
+        discrepancies.push(Discrepancy::MachineNotCached(id.clone()));
     }
-    if shard.0 >= held.shard_count() {
-        missing.push(Missing::MachineShard(shard, id.clone()));
-    } else if held.holds(shard) && !held.has_machine(shard, id) {
-        missing.push(Missing::Machine(shard, id.clone()));
+    if shard.0 >= state.shard_count() {
+        discrepancies.push(Discrepancy::MachineInUnknownShard(shard, id.clone()));
+    } else if state.has_loaded(shard) && !state.shard_has_machine(shard, id) {
+        discrepancies.push(Discrepancy::MachineNotInShard(shard, id.clone()));
     }
-    missing
+    discrepancies
 }
 
-fn compare_job(record: &JobRecord, held: &impl Holdings) -> Vec<Missing> {
+fn compare_job(record: &JobRecord, state: &impl AuditedState) -> Vec<Discrepancy> {
     let id = &record.spec.id;
-    let mut missing = Vec::new();
-    if !held.knows_job(id) {
-        missing.push(Missing::JobInView(id.clone()));
+    let mut discrepancies = Vec::new();
+    if !state.is_job_cached(id) {
+        discrepancies.push(Discrepancy::JobNotCached(id.clone()));
     }
     for shard in record.shards() {
         if record.share(shard).is_empty() {
             continue;
         }
-        if shard.0 >= held.shard_count() {
-            missing.push(Missing::JobShard(shard, id.clone()));
-        } else if held.holds(shard) && !held.has_job(shard, id) {
-            missing.push(Missing::Job(shard, id.clone()));
+        if shard.0 >= state.shard_count() {
+            discrepancies.push(Discrepancy::JobInUnknownShard(shard, id.clone()));
+        } else if state.has_loaded(shard) && !state.shard_has_job(shard, id) {
+            discrepancies.push(Discrepancy::JobNotInShard(shard, id.clone()));
         }
     }
-    missing
+    discrepancies
 }
--- a/crates/pulleywood-recovery/src/commands.rs
+++ b/crates/pulleywood-recovery/src/commands.rs
@@ -1,7 +1,7 @@
-//! The commands that follow from a reconciliation, in the order in which they are due.
+//! Commands that result from a reconciliation, in the order in which they are sent.
 //!
-//! Healthy tasks get no command. Services below their replica count come before all other
-//! launches; then the higher rank comes first.
+//! Healthy tasks get no command. Missing replicas of services are launched before all other
+//! tasks; the rest is launched by descending rank.
 
 use crate::evidence::Evidence;
 use crate::reconcile::Reconciliation;
@@ -9,45 +9,46 @@
 use pulleywood_protocol::{JobId, MachineId, Rank, Shape, TaskId};
 use std::cmp::Reverse;
 
-/// Tasks of one job to launch.
+/// Launches of one job.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Launches {
-    /// The job.
+pub struct JobLaunches {
+    /// Id of the job.
     pub job: JobId,
-    /// Its rank.
+    /// Priority of the job.
     pub rank: Rank,
-    /// The job is a service, whose replicas come first.
-    pub service: bool,
-    /// Indices of the tasks.
+    /// Whether the job is a service. Services are launched first.
+    pub is_service: bool,
+    /// Indices of the tasks to launch now, ascending.
     pub tasks: Vec<u32>,
-    /// Number of tasks that wait for a machine's heartbeat or for its lease to expire.
-    pub waiting: u64,
+    /// Number of tasks that cannot be launched before a machine has sent a heartbeat or its
+    /// lease has expired.
+    pub waiting_tasks: u64,
 }
 
 /// A command to a worker about a task that its heartbeat lists.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskCommand {
-    /// The machine.
+    /// The machine whose heartbeat lists the task.
     pub machine: MachineId,
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// What the worker or the leader does with it.
+    /// What the worker or the leader has to do with the task.
     pub action: TaskAction,
 }
 
-/// All commands that a recovery needs now.
+/// All commands that a recovery would send now.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CommandPlan {
-    /// Commands about reported tasks.
-    pub reported: Vec<TaskCommand>,
-    /// Launches, services first, then by falling rank.
-    pub launches: Vec<Launches>,
+    /// Commands about tasks that heartbeats list.
+    pub task_commands: Vec<TaskCommand>,
+    /// Launches, services first, then by descending rank.
+    pub launches: Vec<JobLaunches>,
 }
 
 impl CommandPlan {
-    /// Derives the commands from a reconciliation and the evidence it was made from.
-    pub fn new(found: &Reconciliation, evidence: &Evidence<'_>) -> CommandPlan {
-        let reported = found
+    /// Derives the commands from a reconciliation and the evidence it is based on.
+    pub fn new(reconciliation: &Reconciliation, evidence: &Evidence<'_>) -> CommandPlan {
+        let task_commands = reconciliation
             .tasks
             .iter()
             .filter(|finding| !matches!(finding.action, TaskAction::Keep | TaskAction::Wait))
@@ -56,21 +57,21 @@
                 task: finding.task.clone(),
                 action: finding.action,
             });
-        let jobs = found.jobs.iter().filter_map(|(id, sets)| {
+        let jobs = reconciliation.jobs.iter().filter_map(|(id, sets)| {
             let job = evidence.stored.jobs.get(id)?;
-            let waiting = sets.awaiting.len() + sets.ending.len();
-            (!sets.missing.is_empty() || waiting > 0).then(|| Launches {
+            let waiting_tasks = sets.unreported.len() + sets.blocked.len();
+            (!sets.missing.is_empty() || waiting_tasks > 0).then(|| JobLaunches {
                 job: id.clone(),
                 rank: job.spec.rank,
-                service: job.spec.shape == Shape::Service,
+                is_service: job.spec.shape == Shape::Service,
                 tasks: sets.missing.iter().collect(),
-                waiting,
+                waiting_tasks,
             })
         });
-        let mut launches: Vec<Launches> = jobs.collect();
-        launches.sort_by_key(|launch| Reverse((launch.service, launch.rank)));
+        let mut launches: Vec<JobLaunches> = jobs.collect();
+        launches.sort_by_key(|launch| Reverse((launch.is_service, launch.rank)));
         CommandPlan {
-            reported: reported.collect(),
+            task_commands: task_commands.collect(),
             launches,
         }
     }
@@ -80,9 +81,9 @@
         self.launches.iter().map(|l| l.tasks.len()).sum()
     }
 
-    /// Number of commands about reported tasks that have this action.
+    /// Number of commands about reported tasks with the given action.
     pub fn count(&self, action: TaskAction) -> usize {
-        let commands = self.reported.iter();
+        let commands = self.task_commands.iter();
         commands.filter(|command| command.action == action).count()
     }
 }
--- a/crates/pulleywood-recovery/src/counter.rs
+++ b/crates/pulleywood-recovery/src/counter.rs
@@ -1,58 +1,60 @@
-//! Repair of a fencing-token counter that is behind, after the store was restored from an
+//! Repair of a fencing-token counter that is too low because the store was restored from an
 //! older copy.
 //!
-//! Fencing tokens come from one counter, so a worker can have seen a token above the counter
-//! only if the store lost writes. Such a worker ignores every command until the counter has
-//! passed its token, and names made from fencing tokens (attempts, rentals) would repeat. The
-//! counter is therefore raised to the highest token seen, by a compare-and-swap. Shards and
-//! the coordinator lease that are held under a token not above it are then acquired again.
+//! All fencing tokens are issued from one counter, so a worker can have seen a token above
+//! the counter only if the store lost writes. Such a worker ignores every command until the
+//! counter has passed its token, and names derived from fencing tokens (attempts, rental
+//! requests) would be reused. The counter is therefore raised to the highest token seen, by
+//! a compare-and-swap. Shards and the coordinator lease that are held under a token not
+//! above it are then acquired again.
 
 use pulleywood_protocol::{FencingToken, MachineId, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// The fencing token in a worker's heartbeat, and when the heartbeat came.
+/// A fencing token that a worker's heartbeat carried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Shown {
+pub struct ObservedToken {
     /// The fencing token.
     pub fencing_token: FencingToken,
-    /// When the heartbeat came.
-    pub at: MonotonicTime,
+    /// When the heartbeat arrived.
+    pub received_at: MonotonicTime,
 }
 
-/// What to do about the highest observed fencing token.
+/// Whether the observed fencing tokens require a repair of the counter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CounterDecision {
-    /// No observed fencing token is above the counter.
-    Covered,
+    /// No observed fencing token is above the counter: nothing to do.
+    Sufficient,
     /// Raise the counter to this fencing token.
     Raise {
-        /// The new last fencing token.
+        /// The new value of the counter.
         to: FencingToken,
-        /// A machine whose heartbeat carried it.
+        /// A machine whose heartbeat carried this token.
         machine: MachineId,
     },
-    /// The token is too far above the counter: report the machine to the operator.
+    /// All tokens above the counter are too far above it: report the machine to the
+    /// operator.
     Implausible {
-        /// The observed fencing token.
+        /// The highest observed fencing token.
         fencing_token: FencingToken,
-        /// The machine whose heartbeat carried it.
+        /// The machine whose heartbeat carried this token.
         machine: MachineId,
     },
 }
 
 /// Compares the observed fencing tokens with the counter.
 ///
-/// `read_began`: when the read of `counter` began; heartbeats that came then or later are ignored,
-/// since the counter may have been raised in between. `max_gap`: how far the counter may be
-/// raised at a time.
+/// `read_began`: when the read of `counter` began. Heartbeats that arrived then or later are
+/// ignored, since the counter may have been raised in between. `max_gap`: how far the counter
+/// may be raised in one step.
 pub fn decide(
-    observed: &BTreeMap<MachineId, Shown>,
+    observed: &BTreeMap<MachineId, ObservedToken>,
     counter: FencingToken,
     read_began: MonotonicTime,
     max_gap: u64,
 ) -> CounterDecision {
     let ahead = observed.iter().filter(|(_, observation)| {
-        observation.fencing_token > counter && observation.at < read_began
+        observation.fencing_token > counter && observation.received_at < read_began
     });
     let highest_plausible = counter
         .0
@@ -74,6 +76,6 @@
             fencing_token: highest.fencing_token,
             machine: machine.clone(),
         },
-        None => CounterDecision::Covered,
+        None => CounterDecision::Sufficient,
     }
 }
--- a/crates/pulleywood-recovery/src/evidence.rs
+++ b/crates/pulleywood-recovery/src/evidence.rs
@@ -1,5 +1,5 @@
-//! The inputs of a reconciliation: stored records, workers' heartbeats and the cloud's list.
-//! They are read at different times, so none is assumed to be newer than another.
+//! Inputs of a reconciliation: stored records, workers' heartbeats and the cloud's machine
+//! list. They are read at different times, so none is assumed to be newer than another.
 
 use pulleywood_protocol::cloud::{Rental, RentalStatus};
 use pulleywood_protocol::job_batch::JobBatchRecord;
@@ -16,19 +16,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A live job as stored.
+/// A decoded record of a live job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredJob {
-    /// What was submitted.
+    /// The submission.
     pub spec: JobSpec,
-    /// The tasks that each shard runs, by shard.
+    /// The tasks assigned to each shard. Shards without tasks are left out.
     pub shares: BTreeMap<ShardId, RoaringBitmap>,
     /// Tasks recorded as done.
     pub done: RoaringBitmap,
 }
 
 impl StoredJob {
-    fn new(record: JobRecord, chunk: u32) -> StoredJob {
+    fn new(record: JobRecord, chunk_size: u32) -> StoredJob {
         let mut shares = BTreeMap::new();
         for shard in record.shards() {
             let share = bitmap(&record.share(shard));
@@ -37,7 +37,7 @@
             }
         }
         let mut done = TaskSet::new();
-        done.add_chunk(&record.done, 0, chunk, record.spec.tasks);
+        done.add_chunk(&record.done, 0, chunk_size, record.spec.tasks);
         StoredJob {
             done: bitmap(&done),
             shares,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The shard that runs a task; `None` if no share holds it.
+    /// The shard that a task is assigned to; `None` if it is assigned to none.
     pub fn shard_of(&self, task: u32) -> Option<ShardId> {
         let mut shares = self.shares.iter();
         shares
@@ -58,70 +58,71 @@
     RoaringBitmap::from_sorted_iter(set.iter()).unwrap_or_default()
 }
 
-/// What cannot be worked on while a record cannot be read.
+/// What cannot be processed because a record cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Blocks {
-    /// One job.
+pub enum BlockedScope {
+    /// A single job.
     Job(JobId),
-    /// One machine.
+    /// A single machine.
     Machine(MachineId),
-    /// Everything that the value holds.
-    Value,
+    /// All records in the value, or all that an unknown key stands for.
+    WholeValue,
 }
 
-/// A stored record that cannot be read. It is never overwritten.
+/// A stored record that cannot be decoded. It is never overwritten.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
-    /// Its key.
+pub struct UnreadableRecord {
+    /// Key of the value that contains the record.
     pub key: String,
-    /// What it blocks.
-    pub blocks: Blocks,
+    /// What cannot be processed because of it.
+    pub blocks: BlockedScope,
 }
 
-/// A shard's leaders as stored.
+/// The stored leadership records of a shard.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoredShard {
-    /// Its current leader.
-    pub holder: Option<LeaseHolder>,
-    /// Its previous leader.
-    pub last: Option<PreviousLeaseHolder>,
+    /// The current leader; `None` if no controller leads the shard.
+    pub leader: Option<LeaseHolder>,
+    /// The most recent leader, whose record outlives its lease; `None` if the shard never had
+    /// one.
+    pub previous_leader: Option<PreviousLeaseHolder>,
 }
 
 impl StoredShard {
-    /// Its current leader, else its previous one.
+    /// The current leader, or the most recent one if there is none.
     pub fn latest_leader(&self) -> Option<&LeaseHolder> {
-        let previous = self.last.as_ref().map(|last| &last.holder);
-        self.holder.as_ref().or(previous)
+        let previous = self.previous_leader.as_ref().map(|record| &record.holder);
+        self.leader.as_ref().or(previous)
     }
 }
 
-/// All live records at one store revision.
+/// All live records, decoded, at one store revision.
 #[derive(Debug, Clone, Default)]
 pub struct StoredState {
-    /// The store revision.
+    /// The store revision at which the records were read.
     pub revision: u64,
-    /// Number of shards.
+    /// Number of shards; 0 if the layout is missing or cannot be decoded.
     pub shard_count: u32,
-    /// The last fencing token issued.
+    /// The last fencing token issued, which is the value of the counter.
     pub fencing_token: FencingToken,
-    /// The leaders of shards.
+    /// Leadership records of the shards that have any.
     pub shards: BTreeMap<ShardId, StoredShard>,
-    /// Live jobs.
+    /// Live jobs whose records can be decoded.
     pub jobs: BTreeMap<JobId, StoredJob>,
-    /// Machines with their records.
+    /// Machines whose records can be decoded.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Machines with records in more than one machine batch.
+    /// Machines that have records in more than one machine batch.
     pub recorded_twice: BTreeSet<MachineId>,
     /// Jobs whose final states were read.
-    pub closed: BTreeSet<JobId>,
-    /// Records that cannot be read.
-    pub unreadable: Vec<Unreadable>,
+    pub closed_jobs: BTreeSet<JobId>,
+    /// Records that cannot be decoded.
+    pub unreadable: Vec<UnreadableRecord>,
 }
 
 impl StoredState {
-    /// Decodes listed items, in any order. `chunk`: number of tasks that one chunk of a
+    /// Decodes listed items, in any order. `chunk_size`: number of tasks that one chunk of a
     /// job's done tasks covers.
-    pub fn from_items(items: &[Item], revision: u64, chunk: u32) -> StoredState {
+    pub fn from_items(items: &[Item], revision: u64, chunk_size: u32) -> StoredState {
         let mut state = StoredState {
             revision,
             ..StoredState::default()
@@ -130,47 +131,47 @@
         for item in items {
             match Key::parse(&item.path) {
                 Some(Key::Job(_, id, index)) if index > 0 => chunks.push((id, index, item)),
-                Some(key) => state.add_record(key, item, chunk),
+                Some(key) => state.add_record(key, item, chunk_size),
                 None if item.path.starts_with(CLOSED) => {
-                    state.closed.extend(closed_job(&item.path))
+                    state.closed_jobs.extend(closed_job(&item.path))
                 }
-                // Probably a key of a later release.
-                None => state.add_unreadable(item, Blocks::Value),
+                // A later release may write keys that this one does not know.
+                None => state.add_unreadable(item, BlockedScope::WholeValue),
             }
         }
         for (id, index, item) in chunks {
-            state.add_done_chunk(&id, index, item, chunk);
+            state.add_done_chunk(&id, index, item, chunk_size);
         }
         state
     }
 
-    fn add_record(&mut self, key: Key, item: &Item, chunk: u32) {
+    fn add_record(&mut self, key: Key, item: &Item, chunk_size: u32) {
         let value = &item.value;
         match key {
             Key::Layout => match cbor::from_value::<Layout>(value) {
                 Ok(layout) => self.shard_count = layout.shards,
-                Err(_) => self.add_unreadable(item, Blocks::Value),
+                Err(_) => self.add_unreadable(item, BlockedScope::WholeValue),
             },
             Key::FencingToken => match cbor::from_value::<FencingTokenCounter>(value) {
                 Ok(record) => self.fencing_token = record.last,
-                Err(_) => self.add_unreadable(item, Blocks::Value),
+                Err(_) => self.add_unreadable(item, BlockedScope::WholeValue),
             },
             Key::ShardLeader(shard) => match cbor::from_value(value) {
-                Ok(holder) => self.shards.entry(shard).or_default().holder = Some(holder),
-                Err(_) => self.add_unreadable(item, Blocks::Value),
+                Ok(holder) => self.shards.entry(shard).or_default().leader = Some(holder),
+                Err(_) => self.add_unreadable(item, BlockedScope::WholeValue),
             },
             Key::PreviousLeader(shard) => match cbor::from_value(value) {
-                Ok(last) => self.shards.entry(shard).or_default().last = Some(last),
-                Err(_) => self.add_unreadable(item, Blocks::Value),
+                Ok(record) => self.shards.entry(shard).or_default().previous_leader = Some(record),
+                Err(_) => self.add_unreadable(item, BlockedScope::WholeValue),
             },
             Key::MachineBatch(_) => self.add_machine_batch(item),
-            Key::JobBatch(_) => self.add_job_batch(item, chunk),
+            Key::JobBatch(_) => self.add_job_batch(item, chunk_size),
             Key::Job(_, id, _) => match cbor::from_value::<JobRecord>(value) {
                 Ok(record) => {
-                    let job = StoredJob::new(record, chunk);
+                    let job = StoredJob::new(record, chunk_size);
                     self.jobs.insert(id, job);
                 }
-                Err(_) => self.add_unreadable(item, Blocks::Job(id)),
+                Err(_) => self.add_unreadable(item, BlockedScope::Job(id)),
             },
             Key::CoordinatorLease | Key::Quota(_) | Key::MachineBatchHead | Key::JobBatchHead => {}
         }
@@ -178,7 +179,7 @@
 
     fn add_machine_batch(&mut self, item: &Item) {
         let Ok(batch) = MachineBatchRecord::from_value(&item.value) else {
-            self.add_unreadable(item, Blocks::Value);
+            self.add_unreadable(item, BlockedScope::WholeValue);
             return;
         };
         for (id, record) in batch.machines {
@@ -187,78 +188,81 @@
             }
         }
         for id in batch.unreadable.into_keys() {
-            self.add_unreadable(item, Blocks::Machine(id));
+            self.add_unreadable(item, BlockedScope::Machine(id));
         }
     }
 
-    fn add_job_batch(&mut self, item: &Item, chunk: u32) {
+    fn add_job_batch(&mut self, item: &Item, chunk_size: u32) {
         let Ok(batch) = JobBatchRecord::from_value(&item.value) else {
-            self.add_unreadable(item, Blocks::Value);
+            self.add_unreadable(item, BlockedScope::WholeValue);
             return;
         };
         let unreadable: Vec<JobId> = batch.unreadable_ids().collect();
         for id in unreadable {
-            self.add_unreadable(item, Blocks::Job(id));
+            self.add_unreadable(item, BlockedScope::Job(id));
         }
         for record in batch.jobs {
             let id = record.spec.id.clone();
-            // The job's own record is newer than its batch.
-            let job = || StoredJob::new(record, chunk);
+            // A job's own record is newer than the one in its batch.
+            let job = || StoredJob::new(record, chunk_size);
             self.jobs.entry(id).or_insert_with(job);
         }
     }
 
-    fn add_done_chunk(&mut self, id: &JobId, index: u32, item: &Item, chunk: u32) {
+    fn add_done_chunk(&mut self, id: &JobId, index: u32, item: &Item, chunk_size: u32) {
         let record = cbor::from_value::<ChunkRecord>(&item.value);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let mut done = TaskSet::new();
-        let sound = record.is_ok_and(|r| done.add_chunk(&r.done, index, chunk, job.spec.tasks));
-        if sound {
+        let is_valid =
+            record.is_ok_and(|r| done.add_chunk(&r.done, index, chunk_size, job.spec.tasks));
+        if is_valid {
             job.done |= bitmap(&done)
         } else {
-            self.add_unreadable(item, Blocks::Job(id.clone()))
+            self.add_unreadable(item, BlockedScope::Job(id.clone()))
         }
     }
 
-    fn add_unreadable(&mut self, item: &Item, blocks: Blocks) {
+    fn add_unreadable(&mut self, item: &Item, blocks: BlockedScope) {
         let key = item.path.clone();
-        self.unreadable.push(Unreadable { key, blocks });
+        self.unreadable.push(UnreadableRecord { key, blocks });
     }
 
-    /// Whether the job has a record that cannot be read.
+    /// Whether the job has a record that cannot be decoded.
     pub fn is_blocked(&self, id: &JobId) -> bool {
-        let blocks_job =
-            |record: &Unreadable| matches!(&record.blocks, Blocks::Job(job) if job == id);
+        let blocks_job = |record: &UnreadableRecord| matches!(&record.blocks, BlockedScope::Job(job) if job == id);
         self.unreadable.iter().any(blocks_job)
     }
 }
 
-/// The cloud's list of machines. Lists are eventually consistent, and one may be older than
-/// the one before it, so a machine counts as gone only if it is missing from every list for
-/// longer than twice the lag.
+/// The cloud's machine list.
+///
+/// Lists are eventually consistent, and one may be older than the one before it. A machine
+/// therefore counts as gone only after it has been missing from every list for longer than
+/// twice the nominal lag.
 #[derive(Debug, Clone, Default)]
 pub struct CloudEvidence {
-    /// Machines in the last list read.
+    /// Machines in the most recent list.
     pub listed: BTreeMap<MachineId, RentalStatus>,
-    /// Since when each known machine has been missing from every list.
+    /// The time since which each known machine has been missing from every list.
     pub missing_since: BTreeMap<MachineId, MonotonicTime>,
-    /// For how long a machine has to be missing before it counts as gone.
-    pub lag: Duration,
+    /// How long a machine has to be missing before it counts as gone.
+    pub gone_after: Duration,
 }
 
 impl CloudEvidence {
-    /// No list was read yet. `lag`: nominal lag of lists; twice as much is allowed for.
+    /// Creates the state before the first list is read. `lag`: nominal lag of lists, of which
+    /// twice as much is allowed for.
     pub fn new(lag: Duration) -> CloudEvidence {
         CloudEvidence {
-            lag: lag * 2,
+            gone_after: lag * 2,
             ..CloudEvidence::default()
         }
     }
 
     /// Adds a list that was read at `now`. `known`: machines that have records.
-    pub fn take<'a>(
+    pub fn update<'a>(
         &mut self,
         list: &[Rental],
         known: impl Iterator<Item = &'a MachineId>,
@@ -279,24 +283,25 @@
         self.listed = listed;
     }
 
-    /// Whether the cloud surely no longer has the machine, or lists it as failed.
+    /// Whether the cloud lists the machine as failed, or it has been missing from every list
+    /// for long enough to be certain that it is gone.
     pub fn is_gone(&self, id: &MachineId, now: MonotonicTime) -> bool {
         if self.listed.get(id) == Some(&RentalStatus::Failed) {
             return true;
         }
         let missing = self.missing_since.get(id);
-        missing.is_some_and(|since| now.since(*since) > self.lag)
+        missing.is_some_and(|since| now.since(*since) > self.gone_after)
     }
 }
 
-/// A worker's heartbeat, and whether it is surely current.
+/// A worker's heartbeat, and whether it is known to be current.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Whether it was sent under the current fencing token of its shard, or in response to a
-    /// command under that token. If so, it is not a late copy.
-    pub current: bool,
+    /// command under that token. Otherwise it may be a delayed copy.
+    pub is_current: bool,
 }
 
 /// All inputs of a reconciliation.
@@ -304,14 +309,14 @@
 pub struct Evidence<'a> {
     /// Machine types and durations.
     pub config: &'a Config,
-    /// Stored records.
+    /// Decoded stored records.
     pub stored: &'a StoredState,
-    /// The newest heartbeat of each machine.
-    pub heard: &'a BTreeMap<MachineId, Heard>,
-    /// Machines whose workers' leases have surely expired: they run no task of an earlier
-    /// leader.
-    pub expired: &'a BTreeSet<MachineId>,
-    /// The cloud's list, if it was read.
+    /// The most recent heartbeat of each machine that sent one.
+    pub heartbeats: &'a BTreeMap<MachineId, ReceivedHeartbeat>,
+    /// Machines whose workers' leases are certain to have expired, so that they run no task
+    /// of an earlier leader.
+    pub expired_leases: &'a BTreeSet<MachineId>,
+    /// The cloud's machine list; `None` if it was not read.
     pub cloud: Option<&'a CloudEvidence>,
     /// The current time.
     pub now: MonotonicTime,
--- a/crates/pulleywood-recovery/src/machine_class.rs
+++ b/crates/pulleywood-recovery/src/machine_class.rs
@@ -1,115 +1,122 @@
-//! Classification of machines after a cold start: one class and one action each.
+//! Classification of machines after a cold start: one class and one action for each machine.
 
-use crate::evidence::{Blocks, Evidence, Heard};
+use crate::evidence::{BlockedScope, Evidence, ReceivedHeartbeat};
 use pulleywood_protocol::cloud::RentalStatus;
 use pulleywood_protocol::record::MachineRecord;
 use pulleywood_protocol::{FencingToken, MachineId, ShardId};
 use serde::Serialize;
 
-/// The state of a machine as the evidence shows it. Each machine is in exactly one class.
+/// State of a machine according to the evidence. Each machine has exactly one class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineClass {
-    /// It has a record, and its heartbeat carries the current fencing token of its shard.
+    /// Has a record, and its heartbeat is known to be current.
     Known,
-    /// It has a record, and its heartbeat may be a late copy: its worker has not seen the
-    /// current fencing token.
+    /// Has a record, but its heartbeat may be a delayed copy: its worker has not seen the
+    /// current fencing token of its shard.
     #[serde(rename = "earlier_term")]
     EarlierFencingToken,
-    /// Its worker has seen a fencing token above the counter: the store was restored from
+    /// Its worker has seen a fencing token above the counter, so the store was restored from
     /// an older copy.
     AboveCounter,
-    /// A heartbeat came from it, and it has no record.
+    /// Sent a heartbeat, but has no record.
     Unrecorded,
-    /// More than one machine batch holds a record of it.
+    /// Has records in more than one machine batch.
     RecordedTwice,
-    /// It has a record, sent no heartbeat, and may still run tasks.
+    /// Has a record, sent no heartbeat, and may still run tasks.
     #[serde(rename = "silent")]
     Unreported,
-    /// It has a record, sent no heartbeat, and its worker's lease has surely expired.
+    /// Has a record, sent no heartbeat, and its worker's lease is certain to have expired.
     #[serde(rename = "silent_lapsed")]
     LeaseExpired,
-    /// It has a record, and the cloud no longer has the machine.
+    /// Has a record, but the cloud no longer has the machine or lists it as failed.
     Gone,
-    /// It has a record without its worker's address: nothing was ever launched on it.
+    /// Has a record without a worker address, so no task was ever launched on it.
     NeverUsed,
-    /// The cloud lists it, it has no record, and no heartbeat ever came from it.
-    NeverHeard,
-    /// The cloud lists it as failed, and it has no record.
+    /// Listed by the cloud, but has no record and sent no heartbeat.
+    #[serde(rename = "never_heard")]
+    NoHeartbeat,
+    /// Listed by the cloud as failed, and has no record.
     FailedUnrecorded,
-    /// Its record cannot be read.
+    /// Its record cannot be decoded.
     Unreadable,
 }
 
-/// The action that follows from a machine's class.
+/// Action that follows from the class of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineAction {
-    /// Do nothing.
+    /// No action.
     Keep,
-    /// Send its worker the current fencing token, so that it sends a heartbeat under it.
+    /// Send the current fencing token to its worker, which then sends a heartbeat under it.
     Announce,
-    /// Raise the fencing-token counter past its fencing token, and acquire its shard again.
+    /// Raise the fencing-token counter to its fencing token, and acquire its shard again.
     RaiseCounter,
-    /// Write its record before anything is launched on it.
+    /// Write its record before any task is launched on it.
     Register,
-    /// Wait for its heartbeat or until its lease has surely expired.
+    /// Wait for its heartbeat, or until its lease is certain to have expired.
     Wait,
-    /// Launch its tasks elsewhere.
-    FreeTasks,
-    /// Release it in the cloud, and delete its record once the release is confirmed.
+    /// Launch its tasks on other machines.
+    #[serde(rename = "free_tasks")]
+    RelaunchTasks,
+    /// Release it to the cloud, and delete its record once the release is confirmed.
     ConfirmRelease,
-    /// Report it to the operator; write nothing.
+    /// Report it to the operator, and write nothing.
     Report,
 }
 
-/// Class, action and evidence of one machine.
+/// Result of the classification of one machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MachineFinding {
-    /// The machine.
+    /// Id of the machine.
     pub machine: MachineId,
-    /// The shard that its record names, if it has one.
+    /// The shard in its record; `None` without a record.
     pub shard: Option<ShardId>,
-    /// Its class.
+    /// The class of the machine.
     pub class: MachineClass,
     /// The action that follows.
     pub action: MachineAction,
-    /// Why it is in this class, for operators.
+    /// Reason for the class, as text for operators.
     pub evidence: String,
 }
 
 /// Classifies one machine that has a record, sent a heartbeat or is listed by the cloud.
 ///
-/// The first rule that applies decides: an unreadable record, a fencing token above the
-/// counter and a double record come before everything a heartbeat says.
+/// The first rule that applies decides. An unreadable record, a fencing token above the
+/// counter and a duplicate record have precedence over the contents of a heartbeat.
 pub fn classify(id: &MachineId, evidence: &Evidence<'_>) -> MachineFinding {
     let record = evidence.stored.machines.get(id);
-    let heard = evidence.heard.get(id);
-    let (class, action, reason) = match (record, heard) {
+    let received = evidence.heartbeats.get(id);
+    let (class, action, reason) = match (record, received) {
         _ if is_unreadable(id, evidence) => (
             MachineClass::Unreadable,
             MachineAction::Report,
-            "its record cannot be read".to_owned(),
-        ),
-        (_, Some(heard)) if heard.heartbeat.fencing_token > evidence.stored.fencing_token => (
-            MachineClass::AboveCounter,
-            MachineAction::RaiseCounter,
-            fencing_token_mismatch(
-                heard.heartbeat.fencing_token,
-                "the counter's",
-                evidence.stored.fencing_token,
-            ),
+            "its record cannot be decoded".to_owned(),
         ),
+        (_, Some(received)) if received.heartbeat.fencing_token > evidence.stored.fencing_token => {
+            (
+                MachineClass::AboveCounter,
+                MachineAction::RaiseCounter,
+                fencing_token_mismatch(
+                    received.heartbeat.fencing_token,
+                    "the counter's",
+                    evidence.stored.fencing_token,
+                ),
+            )
+        }
         _ if evidence.stored.recorded_twice.contains(id) => (
             MachineClass::RecordedTwice,
             MachineAction::Report,
-            "more than one value holds its record".to_owned(),
+            "it has records in more than one machine batch".to_owned(),
         ),
-        (Some(_), Some(heard)) => classify_reported(heard),
-        (None, Some(heard)) => (
+        (Some(_), Some(received)) => classify_reported(received),
+        (None, Some(received)) => (
             MachineClass::Unrecorded,
             MachineAction::Register,
-            format!("reported at {}, no record", heard.heartbeat.endpoint),
+            format!(
+                "sent a heartbeat from {}, has no record",
+                received.heartbeat.endpoint
+            ),
         ),
         (Some(record), None) => classify_unreported(id, record, evidence),
         (None, None) => classify_listed(id, evidence),
@@ -131,19 +138,20 @@
 
 fn is_unreadable(id: &MachineId, evidence: &Evidence<'_>) -> bool {
     let mut unreadable = evidence.stored.unreadable.iter();
-    unreadable.any(|record| matches!(&record.blocks, Blocks::Machine(machine) if machine == id))
+    unreadable
+        .any(|record| matches!(&record.blocks, BlockedScope::Machine(machine) if machine == id))
 }
 
-fn classify_reported(heard: &Heard) -> Classified {
-    let heartbeat = &heard.heartbeat;
+fn classify_reported(received: &ReceivedHeartbeat) -> Classified {
+    let heartbeat = &received.heartbeat;
     let summary = format!(
-        "incarnation {}, message {}, {} tasks under fencing token {}",
+        "heartbeat of incarnation {}, sequence number {}, lists {} tasks under fencing token {}",
         heartbeat.incarnation,
         heartbeat.seq,
         heartbeat.tasks.len(),
         heartbeat.fencing_token
     );
-    if heard.current {
+    if received.is_current {
         (MachineClass::Known, MachineAction::Keep, summary)
     } else {
         (
@@ -164,25 +172,27 @@
     {
         let reason = match cloud.listed.get(id) {
             Some(status) => format!("the cloud lists it as {status:?}"),
-            None => "on no list for longer than lists lag".to_owned(),
+            None => {
+                "missing from the cloud's machine lists for longer than they may lag".to_owned()
+            }
         };
         return (MachineClass::Gone, MachineAction::ConfirmRelease, reason);
     }
     if record.endpoint.is_empty() {
-        let reason = "no address of its worker was ever stored".to_owned();
+        let reason = "its record has no worker address".to_owned();
         return (MachineClass::NeverUsed, MachineAction::Keep, reason);
     }
-    if evidence.expired.contains(id) {
+    if evidence.expired_leases.contains(id) {
         (
             MachineClass::LeaseExpired,
-            MachineAction::FreeTasks,
-            "not heard; its lease has surely lapsed".to_owned(),
+            MachineAction::RelaunchTasks,
+            "sent no heartbeat, and its lease has expired".to_owned(),
         )
     } else {
         (
             MachineClass::Unreported,
             MachineAction::Wait,
-            "not heard; it may still run what it ran".to_owned(),
+            "sent no heartbeat, and may still run its tasks".to_owned(),
         )
     }
 }
@@ -196,9 +206,9 @@
             "the cloud lists it as failed".to_owned(),
         ),
         _ => (
-            MachineClass::NeverHeard,
+            MachineClass::NoHeartbeat,
             MachineAction::Wait,
-            format!("listed as {status:?}, never heard"),
+            format!("listed by the cloud as {status:?}, sent no heartbeat"),
         ),
     }
 }
--- a/crates/pulleywood-recovery/src/policy.rs
+++ b/crates/pulleywood-recovery/src/policy.rs
@@ -1,102 +1,103 @@
-//! The operators' settings of the recovery subsystem (levers of the policy script).
+//! Settings of the recovery subsystem, which operators set in the policy script.
 
 use std::time::Duration;
 
 /// Settings of the recovery subsystem.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecoveryPolicy {
-    /// Keys that one read of the audit covers; 0 turns the audit off.
-    pub audit_slice: f64,
-    /// Minimum time between two reads of the audit, in seconds.
-    pub audit_every_s: f64,
-    /// How long after a failover image fetches for services below their replica count have
-    /// priority over those for lower ranks, in seconds; 0 turns that off.
+    /// Number of keys that the audit reads in one slice; 0 turns the audit off.
+    pub audit_slice_keys: f64,
+    /// Minimum interval between two slices of the audit, in seconds.
+    pub audit_interval_s: f64,
+    /// How long after a failover image fetches for services that lack replicas have priority
+    /// over those for lower ranks, in seconds; 0 turns the priority off.
     pub services_first_s: f64,
-    /// Concurrent image fetches for lower ranks in a zone during that time.
+    /// Maximum number of concurrent image fetches for lower ranks in a zone while services
+    /// have priority.
     pub fetches_per_zone: f64,
-    /// How far the fencing-token counter may be raised at a time to reach a token that a
-    /// worker has seen; a larger gap is reported and left to the operator.
-    pub most_fencing_token_gap: f64,
+    /// How far the fencing-token counter may be raised in one step to reach a token that a
+    /// worker has seen. A larger gap is reported and left to the operator.
+    pub max_fencing_token_gap: f64,
 }
 
 impl Default for RecoveryPolicy {
     fn default() -> Self {
         Self {
-            audit_slice: 50.0,
-            audit_every_s: 2.0,
+            audit_slice_keys: 50.0,
+            audit_interval_s: 2.0,
             services_first_s: 20.0,
             fetches_per_zone: 8.0,
-            most_fencing_token_gap: 1_000_000.0,
+            max_fencing_token_gap: 1_000_000.0,
         }
     }
 }
 
-/// Name, field and range of one setting.
-pub struct Lever {
-    /// Name in the Lua file.
+/// Name, field and allowed range of one setting.
+pub struct PolicySetting {
+    /// Name of the setting in the Lua script.
     pub name: &'static str,
-    /// The field that holds the value.
-    pub slot: fn(&mut RecoveryPolicy) -> &mut f64,
+    /// Accessor of the field that stores the value.
+    pub field: fn(&mut RecoveryPolicy) -> &mut f64,
     /// Smallest allowed value.
-    pub least: f64,
+    pub min: f64,
     /// Largest allowed value.
-    pub most: f64,
-    /// Only whole numbers are allowed.
-    pub whole: bool,
+    pub max: f64,
+    /// Whether only integers are allowed.
+    pub is_integer: bool,
 }
 
-/// All settings that the policy script may set.
-pub const LEVERS: &[Lever] = &[
-    Lever {
+/// All settings of this subsystem that a policy script may change.
+pub const POLICY_SETTINGS: &[PolicySetting] = &[
+    PolicySetting {
         name: "audit_slice",
-        slot: |p| &mut p.audit_slice,
-        least: 0.0,
-        most: 1000.0,
-        whole: true,
+        field: |p| &mut p.audit_slice_keys,
+        min: 0.0,
+        max: 1000.0,
+        is_integer: true,
     },
-    Lever {
+    PolicySetting {
         name: "audit_every_s",
-        slot: |p| &mut p.audit_every_s,
-        least: 0.2,
-        most: 3600.0,
-        whole: false,
+        field: |p| &mut p.audit_interval_s,
+        min: 0.2,
+        max: 3600.0,
+        is_integer: false,
     },
-    Lever {
+    PolicySetting {
         name: "services_first_s",
-        slot: |p| &mut p.services_first_s,
-        least: 0.0,
-        most: 120.0,
-        whole: false,
+        field: |p| &mut p.services_first_s,
+        min: 0.0,
+        max: 120.0,
+        is_integer: false,
     },
-    Lever {
+    PolicySetting {
         name: "fetches_per_zone",
-        slot: |p| &mut p.fetches_per_zone,
-        least: 1.0,
-        most: 1e6,
-        whole: true,
+        field: |p| &mut p.fetches_per_zone,
+        min: 1.0,
+        max: 1e6,
+        is_integer: true,
     },
-    Lever {
+    PolicySetting {
         name: "most_term_gap",
-        slot: |p| &mut p.most_fencing_token_gap,
-        least: 1.0,
-        most: 1e9,
-        whole: true,
+        field: |p| &mut p.max_fencing_token_gap,
+        min: 1.0,
+        max: 1e9,
+        is_integer: true,
     },
 ];
 
 impl RecoveryPolicy {
-    /// Keys that one read of the audit covers; 0: the audit is off.
-    pub fn slice(&self) -> u32 {
-        self.audit_slice as u32
+    /// Number of keys that the audit reads in one slice; 0 if the audit is off.
+    pub fn audit_slice_size(&self) -> u32 {
+        self.audit_slice_keys as u32
     }
 
-    /// Minimum time between two reads of the audit.
-    pub fn audit_every(&self) -> Duration {
-        Duration::from_secs_f64(self.audit_every_s)
+    /// Minimum interval between two slices of the audit.
+    pub fn audit_interval(&self) -> Duration {
+        Duration::from_secs_f64(self.audit_interval_s)
     }
 
-    /// How long image fetches for services have priority after a failover.
-    pub fn services_first(&self) -> Duration {
+    /// How long after a failover image fetches for services have priority.
+    pub fn service_priority_duration(&self) -> Duration {
         Duration::from_secs_f64(self.services_first_s)
     }
 }
--- a/crates/pulleywood-recovery/src/progress.rs
+++ b/crates/pulleywood-recovery/src/progress.rs
@@ -1,7 +1,7 @@
 //! The phase of each shard's recovery.
 //!
-//! A phase is computed from the leader's current state and never stored, so the next leader
-//! needs nothing from a controller that stops half-way.
+//! A phase is derived from the leader's current state and never stored, so a new leader needs
+//! nothing from a controller that stopped in the middle of a recovery.
 
 use pulleywood_protocol::{FencingToken, MonotonicTime, ShardId};
 use pulleywood_scheduler::shard::snapshot::ShardSnapshot;
@@ -9,24 +9,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A phase of a shard's recovery.
+/// A phase of a shard's recovery. The names of the phases are written to traces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Its records are being read.
+    /// The records of the shard are being read.
     Read,
-    /// Some machines are unreported, and no task from before the failover waits for them.
+    /// Some machines have not sent a heartbeat yet, and no task from before the failover is
+    /// blocked by them.
     Hear,
-    /// Tasks from before the failover wait for unreported machines.
+    /// Tasks from before the failover are blocked by machines that have not sent a heartbeat.
     Decide,
-    /// Tasks from before the failover are being launched, stopped or recorded as done.
+    /// All machines have reported; tasks from before the failover are being launched, stopped
+    /// or recorded as done.
     Act,
     /// All machines and tasks of the previous leader are accounted for.
     Complete,
 }
 
 impl Phase {
-    /// The phase for a leader's snapshot; `None`: the shard's records are not read yet.
+    /// The phase of a shard with this snapshot; `None` if its records have not been read yet.
     pub fn of(snapshot: Option<&ShardSnapshot>) -> Phase {
         let Some(shard) = snapshot else {
             return Phase::Read;
@@ -48,19 +50,19 @@
 
 /// A change of a shard's phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Transition {
-    /// The shard.
+pub struct PhaseTransition {
+    /// Id of the shard.
     pub shard: ShardId,
-    /// The fencing token of its leader.
+    /// The fencing token that the shard is led under.
     pub fencing_token: FencingToken,
-    /// The previous phase, if this process saw one under the same fencing token.
+    /// The previous phase; `None` if this is the first under the fencing token.
     pub from: Option<Phase>,
     /// The new phase.
     pub to: Phase,
-    /// How long the previous phase lasted.
-    pub lasted: Duration,
+    /// Duration of the previous phase; zero if there was none.
+    pub previous_duration: Duration,
     /// Time since the shard was acquired.
-    pub total: Duration,
+    pub since_acquired: Duration,
 }
 
 /// The phase of one shard under one fencing token.
@@ -69,50 +71,51 @@
     fencing_token: FencingToken,
     phase: Phase,
     phase_began: MonotonicTime,
-    acquired: MonotonicTime,
+    acquired_at: MonotonicTime,
 }
 
-/// The recovery phases of the shards that a controller leads. Shards recover independently.
+/// Recovery phases of the shards that a controller leads. Shards recover independently.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct RecoveryProgress {
     shards: BTreeMap<ShardId, ShardProgress>,
 }
 
-impl Progress {
-    /// Records that a shard is in a phase; returns the transition if the phase is new.
+impl RecoveryProgress {
+    /// Records the phase of a shard, and returns the transition if the phase has changed.
     ///
-    /// A shard that is complete stays complete until it is acquired again.
+    /// A complete recovery stays complete until the shard is acquired again.
     pub fn update(
         &mut self,
         shard: ShardId,
         fencing_token: FencingToken,
         phase: Phase,
         now: MonotonicTime,
-    ) -> Option<Transition> {
+    ) -> Option<PhaseTransition> {
         let known = self
             .shards
             .get(&shard)
             .filter(|progress| progress.fencing_token == fencing_token);
-        // Later launches and stops are ordinary work, not recovery.
+        // Launches and stops after completion are normal operation, not recovery.
         if known
             .is_some_and(|progress| progress.phase == phase || progress.phase == Phase::Complete)
         {
             return None;
         }
-        let acquired = known.map_or(now, |progress| progress.acquired);
-        let transition = Transition {
+        let acquired_at = known.map_or(now, |progress| progress.acquired_at);
+        let transition = PhaseTransition {
             shard,
             fencing_token,
             from: known.map(|progress| progress.phase),
             to: phase,
-            lasted: known.map_or(Duration::ZERO, |progress| now.since(progress.phase_began)),
-            total: now.since(acquired),
+            previous_duration: known
+                .map_or(Duration::ZERO, |progress| now.since(progress.phase_began)),
+            since_acquired: now.since(acquired_at),
         };
         let progress = ShardProgress {
             fencing_token,
             phase,
             phase_began: now,
-            acquired,
+            acquired_at,
         };
         self.shards.insert(shard, progress);
         Some(transition)
@@ -126,14 +129,14 @@
         })
     }
 
-    /// Forgets the shards that are no longer led.
-    pub fn keep(&mut self, is_led: impl Fn(ShardId) -> bool) {
+    /// Removes the shards that are no longer led.
+    pub fn retain_led(&mut self, is_led: impl Fn(ShardId) -> bool) {
         self.shards.retain(|shard, _| is_led(*shard));
     }
 
-    /// When the shard was acquired, if its recovery is not complete.
+    /// The time at which the shard was acquired; `None` if its recovery is complete.
     pub fn recovering_since(&self, shard: ShardId) -> Option<MonotonicTime> {
         let progress = self.shards.get(&shard)?;
-        (progress.phase != Phase::Complete).then_some(progress.acquired)
+        (progress.phase != Phase::Complete).then_some(progress.acquired_at)
     }
 }
--- a/crates/pulleywood-recovery/src/reconcile.rs
+++ b/crates/pulleywood-recovery/src/reconcile.rs
@@ -1,8 +1,9 @@
-//! Reconciliation of stored records, heartbeats and the cloud's list: exactly one class,
-//! with its evidence and one action, for each machine and each reported attempt, and exactly
-//! one set for each task of a live job.
+//! Reconciliation of stored records, heartbeats and the cloud's machine list.
+//!
+//! Each machine and each reported attempt gets exactly one class with its reason and one
+//! action, and each task of a live job is assigned to exactly one set.
 
-use crate::evidence::{Blocks, Evidence, Heard, StoredJob};
+use crate::evidence::{BlockedScope, Evidence, ReceivedHeartbeat, StoredJob};
 use crate::machine_class::{self, MachineClass, MachineFinding};
 use crate::task_class::{TaskClass, TaskFinding};
 use pulleywood_protocol::worker::{Cause, TaskState, TaskStatus};
@@ -10,32 +11,33 @@
 use roaring::RoaringBitmap;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The tasks of one live job, each in exactly one set.
+/// The tasks of one live job, partitioned by state.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct JobSets {
-    /// Recorded as done.
+pub struct JobTaskSets {
+    /// Recorded as done in the store.
     pub done: RoaringBitmap,
-    /// Completed on a machine, and not recorded yet.
-    pub finished: RoaringBitmap,
-    /// Running, and to be left running.
+    /// Completed on a machine, and not yet recorded as done.
+    pub uncommitted: RoaringBitmap,
+    /// Running on the right machine: no command is needed.
     pub running: RoaringBitmap,
-    /// On a machine that has to stop it, or prove its state, before it is launched again.
-    pub ending: RoaringBitmap,
-    /// Possibly running on an unreported machine.
-    pub awaiting: RoaringBitmap,
-    /// Running on no machine: to be launched.
+    /// Running on a machine that has to stop the task, or to confirm its state by a current
+    /// heartbeat, before the task is launched again.
+    pub blocked: RoaringBitmap,
+    /// Possibly running on a machine that has not sent a heartbeat.
+    pub unreported: RoaringBitmap,
+    /// Not running on any machine: to be launched.
     pub missing: RoaringBitmap,
 }
 
-impl JobSets {
-    /// All sets with their names; the earlier set has precedence.
-    pub fn named(&self) -> [(&'static str, &RoaringBitmap); 6] {
+impl JobTaskSets {
+    /// All sets with their names, in order of precedence.
+    pub fn named_sets(&self) -> [(&'static str, &RoaringBitmap); 6] {
         [
             ("done", &self.done),
-            ("finished", &self.finished),
+            ("uncommitted", &self.uncommitted),
             ("running", &self.running),
-            ("ending", &self.ending),
-            ("awaiting", &self.awaiting),
+            ("blocked", &self.blocked),
+            ("unreported", &self.unreported),
             ("missing", &self.missing),
         ]
     }
@@ -44,85 +46,88 @@
 /// The result of a reconciliation.
 #[derive(Debug, Clone, Default)]
 pub struct Reconciliation {
-    /// Each machine that has a record, sent a heartbeat or is listed by the cloud.
+    /// The finding about each machine that has a record, sent a heartbeat or is listed by the
+    /// cloud.
     pub machines: BTreeMap<MachineId, MachineFinding>,
-    /// Each reported attempt.
+    /// The finding about each reported attempt.
     pub tasks: Vec<TaskFinding>,
-    /// The task sets of each live job whose record can be read.
-    pub jobs: BTreeMap<JobId, JobSets>,
+    /// The task sets of each live job whose record can be decoded.
+    pub jobs: BTreeMap<JobId, JobTaskSets>,
 }
 
-/// A kind of machine of one shard that may run tasks which no heartbeat lists.
+/// Properties that decide which tasks a machine may run. Machines that may run tasks which no
+/// heartbeat lists are grouped by them.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct UnreportedKind<'a> {
+struct UnreportedMachineKind<'a> {
     shard: ShardId,
     flavor: &'a str,
     zone: &'a str,
     spot: bool,
 }
 
-/// Classifies every machine and every reported attempt, and assigns the tasks of live jobs
-/// to their sets.
+/// Classifies all machines and reported attempts, and assigns the tasks of live jobs to their
+/// sets.
 pub fn reconcile(evidence: &Evidence<'_>) -> Reconciliation {
     let machines = classify_machines(evidence);
-    let newest = newest_attempts(evidence);
-    let mut found = Reconciliation::default();
+    let newest_attempts = newest_attempts(evidence);
+    let mut reconciliation = Reconciliation::default();
     for (id, job) in &evidence.stored.jobs {
         let done = job.done.clone();
-        let sets = JobSets {
+        let sets = JobTaskSets {
             done,
-            ..JobSets::default()
+            ..JobTaskSets::default()
         };
-        found.jobs.insert(id.clone(), sets);
+        reconciliation.jobs.insert(id.clone(), sets);
     }
-    for (id, heard) in evidence.heard {
-        let proven = machines
+    for (id, received) in evidence.heartbeats {
+        let is_known = machines
             .get(id)
             .is_some_and(|m| m.class == MachineClass::Known);
         let mut listed = BTreeSet::new();
-        for task in &heard.heartbeat.tasks {
+        for task in &received.heartbeat.tasks {
             let is_first = listed.insert((&task.task, task.attempt));
             let class = if !is_first {
                 TaskClass::Impossible
-            } else if !proven {
+            } else if !is_known {
                 TaskClass::Unproven
             } else {
-                classify_task(id, heard, task, evidence, &newest)
+                classify_task(id, received, task, evidence, &newest_attempts)
             };
-            found.add_reported_task(task, class);
-            found.tasks.push(finding(id, task, class, evidence));
+            reconciliation.add_reported_task(task, class);
+            reconciliation
+                .tasks
+                .push(task_finding(id, task, class, evidence));
         }
     }
-    found.machines = machines;
-    found.assign_unreported_tasks(evidence);
-    found
+    reconciliation.machines = machines;
+    reconciliation.assign_unreported_tasks(evidence);
+    reconciliation
 }
 
 fn classify_machines(evidence: &Evidence<'_>) -> BTreeMap<MachineId, MachineFinding> {
     let stored = evidence.stored;
     let unreadable = stored.unreadable.iter().filter_map(|u| match &u.blocks {
-        Blocks::Machine(id) => Some(id),
+        BlockedScope::Machine(id) => Some(id),
         _ => None,
     });
     let listed = evidence.cloud.iter().flat_map(|c| c.listed.keys());
     let all: BTreeSet<&MachineId> = stored
         .machines
         .keys()
-        .chain(evidence.heard.keys())
+        .chain(evidence.heartbeats.keys())
         .chain(listed)
         .chain(unreadable)
         .collect();
-    let findings = all.into_iter();
-    findings
-        .map(|id| (id.clone(), machine_class::classify(id, evidence)))
+    let ids = all.into_iter();
+    ids.map(|id| (id.clone(), machine_class::classify(id, evidence)))
         .collect()
 }
 
-/// The newest attempt of each task that has not exited, from current heartbeats only.
+/// The newest attempt of each task that has not exited, according to current heartbeats.
 fn newest_attempts<'a>(evidence: &Evidence<'a>) -> BTreeMap<&'a TaskId, Attempt> {
     let mut newest: BTreeMap<&TaskId, Attempt> = BTreeMap::new();
-    let reports = evidence.heard.values().filter(|h| h.current);
-    for task in reports.flat_map(|h| &h.heartbeat.tasks) {
+    let current = evidence.heartbeats.values().filter(|h| h.is_current);
+    for task in current.flat_map(|h| &h.heartbeat.tasks) {
         if task.state != TaskState::Exited {
             let known = newest.entry(&task.task).or_insert(task.attempt);
             *known = (*known).max(task.attempt);
@@ -133,21 +138,21 @@
 
 fn classify_task(
     machine: &MachineId,
-    heard: &Heard,
+    received: &ReceivedHeartbeat,
     status: &TaskStatus,
     evidence: &Evidence<'_>,
-    newest: &BTreeMap<&TaskId, Attempt>,
+    newest_attempts: &BTreeMap<&TaskId, Attempt>,
 ) -> TaskClass {
     let (stored, id) = (evidence.stored, &status.task.job);
-    // A worker learns an attempt together with a fencing token that is at least as high.
-    if status.attempt.fencing_token() > heard.heartbeat.fencing_token {
+    // A worker receives an attempt together with a fencing token that is at least as high.
+    if status.attempt.fencing_token() > received.heartbeat.fencing_token {
         return TaskClass::Impossible;
     }
     if stored.is_blocked(id) {
         return TaskClass::JobUnreadable;
     }
     let Some(job) = stored.jobs.get(id) else {
-        return if stored.closed.contains(id) {
+        return if stored.closed_jobs.contains(id) {
             TaskClass::JobOver
         } else {
             TaskClass::JobUnknown
@@ -158,7 +163,7 @@
     }
     let recorded = job.done.contains(status.task.index);
     if status.state == TaskState::Exited {
-        // A service replica that exits is launched again, so it is never done.
+        // Replicas of services that exit are launched again, so they are never done.
         let done = status.cause == Some(Cause::Done) && job.spec.shape.completes();
         return match (done, recorded) {
             (true, false) => TaskClass::DoneNotCommitted,
@@ -173,19 +178,19 @@
     if job.shard_of(status.task.index) != shard {
         return TaskClass::OtherShard;
     }
-    match newest.get(&status.task) {
+    match newest_attempts.get(&status.task) {
         Some(newest) if *newest > status.attempt => TaskClass::OlderAttempt,
         _ => TaskClass::Matched,
     }
 }
 
-fn finding(
+fn task_finding(
     machine: &MachineId,
     status: &TaskStatus,
     class: TaskClass,
     evidence: &Evidence<'_>,
 ) -> TaskFinding {
-    let ended = status.state == TaskState::Exited;
+    let has_exited = status.state == TaskState::Exited;
     let state = match status.cause {
         Some(cause) => format!("{:?}, {cause:?}", status.state),
         None => format!("{:?}", status.state),
@@ -196,36 +201,37 @@
         machine: machine.clone(),
         shard: evidence.stored.machines.get(machine).map(|m| m.shard),
         class,
-        action: class.action(ended),
+        action: class.action(has_exited),
         evidence: format!(
-            "reported as {state}, attempt of fencing token {}",
+            "reported as {state}, attempt issued under fencing token {}",
             status.attempt.fencing_token()
         ),
     }
 }
 
 impl Reconciliation {
-    /// Adds a reported task of a live job to its set.
+    /// Adds a reported task of a live job to the set that its class implies.
     fn add_reported_task(&mut self, status: &TaskStatus, class: TaskClass) {
         let Some(sets) = self.jobs.get_mut(&status.task.job) else {
             return;
         };
         let set = match class {
             TaskClass::Matched => &mut sets.running,
-            TaskClass::DoneNotCommitted => &mut sets.finished,
+            TaskClass::DoneNotCommitted => &mut sets.uncommitted,
             TaskClass::Unproven if status.state == TaskState::Exited => return,
             TaskClass::Unproven | TaskClass::OtherShard | TaskClass::OlderAttempt => {
-                &mut sets.ending
+                &mut sets.blocked
             }
             _ => return,
         };
         set.insert(status.task.index);
     }
 
-    /// Assigns the tasks that no heartbeat lists: they are missing, or awaiting if an
-    /// unreported machine may run them. A task in several sets stays in the first.
+    /// Assigns the tasks that no heartbeat lists: to `unreported` if a machine that has not
+    /// reported may run them, else to `missing`. A task in several sets stays only in the set
+    /// with the highest precedence.
     fn assign_unreported_tasks(&mut self, evidence: &Evidence<'_>) {
-        let unreported = self.unreported_kinds(evidence);
+        let unreported_kinds = self.unreported_kinds(evidence);
         let unknown_machines = has_unknown_machines(evidence);
         for (id, job) in &evidence.stored.jobs {
             let Some(sets) = self.jobs.get_mut(id) else {
@@ -234,22 +240,22 @@
             if evidence.stored.is_blocked(id) {
                 continue;
             }
-            sets.finished -= &sets.done;
-            sets.running -= &sets.finished;
-            sets.ending -= &sets.running;
-            sets.ending -= &sets.finished;
+            sets.uncommitted -= &sets.done;
+            sets.running -= &sets.uncommitted;
+            sets.blocked -= &sets.running;
+            sets.blocked -= &sets.uncommitted;
             for (shard, share) in &job.shares {
                 let mut rest = share - &sets.done;
-                for set in [&sets.finished, &sets.running, &sets.ending] {
+                for set in [&sets.uncommitted, &sets.running, &sets.blocked] {
                     rest -= set;
                 }
-                let may_run = |kind: &UnreportedKind<'_>| {
+                let may_run = |kind: &UnreportedMachineKind<'_>| {
                     let config = evidence.config;
                     kind.shard == *shard
                         && config.may_run_on(&job.spec, kind.flavor, kind.zone, kind.spot)
                 };
-                if unknown_machines || unreported.iter().any(may_run) {
-                    sets.awaiting |= rest
+                if unknown_machines || unreported_kinds.iter().any(may_run) {
+                    sets.unreported |= rest
                 } else {
                     sets.missing |= rest
                 }
@@ -257,8 +263,8 @@
         }
     }
 
-    /// The kinds of machines that may run tasks which no heartbeat lists.
-    fn unreported_kinds<'a>(&self, evidence: &Evidence<'a>) -> BTreeSet<UnreportedKind<'a>> {
+    /// The kinds of the machines that may run tasks which no heartbeat lists.
+    fn unreported_kinds<'a>(&self, evidence: &Evidence<'a>) -> BTreeSet<UnreportedMachineKind<'a>> {
         let classes = [
             MachineClass::Unreported,
             MachineClass::EarlierFencingToken,
@@ -271,7 +277,7 @@
             finding.is_some_and(|f| classes.contains(&f.class))
         });
         unreported
-            .map(|(_, record)| UnreportedKind {
+            .map(|(_, record)| UnreportedMachineKind {
                 shard: record.shard,
                 flavor: &record.flavor,
                 zone: &record.zone,
@@ -299,23 +305,23 @@
     }
 }
 
-/// Whether a machine batch cannot be read, or the record of a machine whose lease may not have
-/// expired: any task from before the failover may run on such a machine.
+/// Whether a machine batch cannot be decoded, or the record of a machine whose lease may still
+/// be valid. Any task from before the failover may run on such a machine.
 fn has_unknown_machines(evidence: &Evidence<'_>) -> bool {
     let mut unreadable = evidence.stored.unreadable.iter();
     unreadable.any(|record| match &record.blocks {
-        Blocks::Machine(id) => !evidence.expired.contains(id),
-        Blocks::Value => record
+        BlockedScope::Machine(id) => !evidence.expired_leases.contains(id),
+        BlockedScope::WholeValue => record
             .key
             .starts_with(pulleywood_protocol::record::MACHINE_BATCHES),
-        Blocks::Job(_) => false,
+        BlockedScope::Job(_) => false,
     })
 }
 
-/// Number of tasks of a job that are neither done nor running: the minimum that a recovery
-/// launches once no machine can run them.
-pub fn min_launches(job: &StoredJob, sets: &JobSets) -> u64 {
-    let all = u64::from(job.spec.tasks);
-    let rest = [&sets.done, &sets.finished, &sets.running];
-    all - rest.iter().map(|set| set.len()).sum::<u64>()
+/// Number of tasks of a job that are neither done, completed nor running. A recovery launches
+/// at least as many, once no machine can still be running them.
+pub fn min_launches(job: &StoredJob, sets: &JobTaskSets) -> u64 {
+    let total = u64::from(job.spec.tasks);
+    let accounted_for = [&sets.done, &sets.uncommitted, &sets.running];
+    total - accounted_for.iter().map(|set| set.len()).sum::<u64>()
 }
--- a/crates/pulleywood-recovery/src/task_class.rs
+++ b/crates/pulleywood-recovery/src/task_class.rs
@@ -1,19 +1,21 @@
-//! Classification of reported task attempts after a cold start: one class and one action each.
+//! Classification of reported task attempts after a cold start: one class and one action for
+//! each attempt.
 
 use pulleywood_protocol::{Attempt, MachineId, ShardId, TaskId};
 use serde::Serialize;
 
-/// The state of an attempt that a worker's heartbeat lists. Each reported attempt is in
-/// exactly one class.
+/// State of a task attempt that a worker's heartbeat lists. Each reported attempt has exactly
+/// one class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskClass {
-    /// Running on a machine of the shard that runs the task, as its newest attempt.
+    /// The newest attempt of its task, running on a machine of the shard that the task is
+    /// assigned to.
     Matched,
-    /// Running on a machine of another shard than the one that runs the task: the task was
-    /// transferred, or the machine changed its shard.
+    /// Running on a machine of another shard than the one that the task is assigned to: the
+    /// task was transferred, or the machine moved to another shard.
     OtherShard,
-    /// Running, while a newer attempt of the same task runs elsewhere.
+    /// Running, while a newer attempt of the same task runs on another machine.
     OlderAttempt,
     /// Completed, and not yet recorded as done.
     DoneNotCommitted,
@@ -23,60 +25,60 @@
     DoneStillRunning,
     /// Ended without completing.
     Ended,
-    /// Its job has a final state.
+    /// Its job has ended: the final state is stored.
     JobOver,
     /// Its job has neither a live record nor a final state.
     JobUnknown,
-    /// Its job has a record that cannot be read.
+    /// Its job has a record that cannot be decoded.
     JobUnreadable,
-    /// Its index or attempt cannot exist, or the heartbeat lists it twice.
+    /// The task index or the attempt cannot exist, or the heartbeat lists the attempt twice.
     Impossible,
-    /// The heartbeat may be a late copy, or its machine is not known.
+    /// The heartbeat may be a delayed copy, or its machine is not of class `Known`.
     Unproven,
 }
 
-/// The action that follows from the class of a reported attempt.
+/// Action that follows from the class of a reported attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskAction {
-    /// Let it run.
+    /// No action: let it run.
     Keep,
-    /// Stop it.
+    /// Stop the attempt.
     #[serde(rename = "halt")]
     Stop,
-    /// Tell its worker to forget it.
+    /// Tell its worker to forget the exited attempt.
     Clear,
-    /// Record it as done, then tell its worker to forget it.
+    /// Record the task as done, then tell its worker to forget the attempt.
     CommitThenClear,
-    /// Read its job's live record and final state again, with reads begun after the
-    /// heartbeat, and stop the attempt if there is no live record.
+    /// Read the live record and the final state of its job again, by reads that begin after
+    /// the heartbeat, and stop the attempt if there is no live record.
     #[serde(rename = "verify_then_halt")]
     VerifyThenStop,
-    /// Wait for a heartbeat that proves more.
+    /// Wait for a heartbeat that is known to be current.
     Wait,
 }
 
-/// Class, action and evidence of one reported attempt.
+/// Result of the classification of one reported attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct TaskFinding {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: Attempt,
-    /// The machine that reported it.
+    /// The machine whose heartbeat lists it.
     pub machine: MachineId,
-    /// The shard that the machine's record names, if it has one.
+    /// The shard in the machine's record; `None` without a record.
     pub shard: Option<ShardId>,
-    /// Its class.
+    /// The class of the attempt.
     pub class: TaskClass,
     /// The action that follows.
     pub action: TaskAction,
-    /// Why it is in this class, for operators.
+    /// Reason for the class, as text for operators.
     pub evidence: String,
 }
 
 impl TaskClass {
-    /// Whether the class is part of normal operation and needs no operator.
+    /// Whether the class occurs in normal operation and needs no attention of an operator.
     pub fn is_healthy(self) -> bool {
         matches!(
             self,
@@ -88,15 +90,15 @@
         )
     }
 
-    /// The action of the class. `ended`: the attempt has exited on its worker.
-    pub fn action(self, ended: bool) -> TaskAction {
+    /// The action of the class. `has_exited`: the attempt has exited on its worker.
+    pub fn action(self, has_exited: bool) -> TaskAction {
         match self {
             TaskClass::Matched | TaskClass::JobUnreadable => TaskAction::Keep,
             TaskClass::DoneNotCommitted => TaskAction::CommitThenClear,
             TaskClass::DoneCommitted | TaskClass::Ended => TaskAction::Clear,
             TaskClass::Unproven => TaskAction::Wait,
-            TaskClass::JobUnknown if !ended => TaskAction::VerifyThenStop,
-            _ if ended => TaskAction::Clear,
+            TaskClass::JobUnknown if !has_exited => TaskAction::VerifyThenStop,
+            _ if has_exited => TaskAction::Clear,
             _ => TaskAction::Stop,
         }
     }
--- a/crates/pulleywood-recovery/tests/audit.rs
+++ b/crates/pulleywood-recovery/tests/audit.rs
@@ -1,4 +1,5 @@
-//! The audit, the fencing-token counter and the phases of a shard's recovery.
+//! The audit of the store, the repair of the fencing-token counter and the phases of a
+//! shard's recovery.
 
 mod common;
 
@@ -7,14 +8,14 @@
 use pulleywood_protocol::record::{JobRecord, job_batch_key};
 use pulleywood_protocol::store::Item;
 use pulleywood_protocol::{FencingToken, JobId, MachineId, Revision, ShardId};
-use pulleywood_recovery::audit::{Audit, Holdings, Missing};
-use pulleywood_recovery::counter::{CounterDecision, Shown, decide};
-use pulleywood_recovery::progress::{Phase, Progress};
+use pulleywood_recovery::audit::{Audit, AuditedState, Discrepancy};
+use pulleywood_recovery::counter::{CounterDecision, ObservedToken, decide};
+use pulleywood_recovery::progress::{Phase, RecoveryProgress};
 use pulleywood_scheduler::shard::snapshot::ShardSnapshot;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The state of a controller that leads shard 0 of two.
+/// State of a controller that leads shard 0 of two.
 #[derive(Default, Clone)]
 struct LeaderState {
     revision: u64,
@@ -24,31 +25,31 @@
     cached_machines: BTreeSet<MachineId>,
 }
 
-impl Holdings for LeaderState {
+impl AuditedState for LeaderState {
     fn revision(&self) -> u64 {
         self.revision
     }
     fn shard_count(&self) -> u32 {
         SHARDS
     }
-    fn holds(&self, shard: ShardId) -> bool {
+    fn has_loaded(&self, shard: ShardId) -> bool {
         shard == ShardId(0)
     }
-    fn knows_job(&self, job: &JobId) -> bool {
+    fn is_job_cached(&self, job: &JobId) -> bool {
         self.cached_jobs.contains(job)
     }
-    fn has_job(&self, _shard: ShardId, job: &JobId) -> bool {
+    fn shard_has_job(&self, _shard: ShardId, job: &JobId) -> bool {
         self.jobs.contains(job)
     }
-    fn knows_machine(&self, machine: &MachineId) -> bool {
+    fn is_machine_cached(&self, machine: &MachineId) -> bool {
         self.cached_machines.contains(machine)
     }
-    fn has_machine(&self, _shard: ShardId, machine: &MachineId) -> bool {
+    fn shard_has_machine(&self, _shard: ShardId, machine: &MachineId) -> bool {
         self.machines.contains(machine)
     }
 }
 
-/// The items of a store, listed in slices as a controller lists them.
+/// The items of a store, ordered by key and read in slices.
 struct Store {
     items: Vec<Item>,
     revision: u64,
@@ -56,43 +57,44 @@
 
 impl Store {
     fn slice(&self, prefix: &str, after: &str, limit: usize) -> (Vec<Item>, bool) {
-        let mut below: Vec<Item> = self
+        let mut items: Vec<Item> = self
             .items
             .iter()
             .filter(|i| i.path.starts_with(prefix) && i.path.as_str() > after)
             .cloned()
             .collect();
-        let more = below.len() > limit;
-        below.truncate(limit);
-        (below, more)
+        let more = items.len() > limit;
+        items.truncate(limit);
+        (items, more)
     }
 }
 
-/// Audits until the whole store was compared twice. Returns the findings and the number of
-/// slices read. `between` runs after reads once the cached state is up to date.
+/// Audits until the whole store has been compared twice. Returns the discrepancies found and
+/// the number of slices read. `after_read` runs after each read for which the cached state is
+/// up to date.
 fn audit_twice(
     store: &Store,
     state: &mut LeaderState,
     limit: usize,
-    between: fn(&mut LeaderState),
-) -> (Vec<Missing>, u64) {
+    after_read: fn(&mut LeaderState),
+) -> (Vec<Discrepancy>, u64) {
     let mut audit = Audit::default();
     let mut found = Vec::new();
     for _ in 0..1000 {
         if audit.counts().passes == 2 {
             break;
         }
-        let Some(next) = audit.next(state) else {
+        let Some(next) = audit.next_slice(state) else {
             // The watch brings the cached state up to date.
             state.revision = store.revision;
-            between(state);
+            after_read(state);
             continue;
         };
         let (items, more) = store.slice(next.prefix, &next.after, limit);
-        let findings = audit.take(&items, more, store.revision, state);
-        found.extend(findings.into_iter().map(|f| f.missing));
+        let findings = audit.compare_slice(&items, more, store.revision, state);
+        found.extend(findings.into_iter().map(|f| f.discrepancy));
         if state.revision >= store.revision {
-            between(state);
+            after_read(state);
         }
     }
     assert_eq!(audit.counts().passes, 2);
@@ -148,39 +150,39 @@
 
 #[test]
 fn a_missing_record_is_found_at_any_slice_size() {
-    type Loss = fn(&mut LeaderState);
-    let cases: [(&str, Loss, &[Missing]); 6] = [
-        ("nothing", |_| {}, &[]),
+    type RemoveRecord = fn(&mut LeaderState);
+    let cases: [(&str, RemoveRecord, &[Discrepancy]); 6] = [
+        ("no record is missing", |_| {}, &[]),
         (
             "a job missing from its shard",
-            |h| h.jobs.retain(|id| id != &job_id(17)),
-            &[Missing::Job(ShardId(0), job_id(17))],
+            |state| state.jobs.retain(|id| id != &job_id(17)),
+            &[Discrepancy::JobNotInShard(ShardId(0), job_id(17))],
         ),
         (
             "a job stored only in its batch, missing from its shard",
-            |h| h.jobs.retain(|id| id != &job_id(55)),
-            &[Missing::Job(ShardId(0), job_id(55))],
+            |state| state.jobs.retain(|id| id != &job_id(55)),
+            &[Discrepancy::JobNotInShard(ShardId(0), job_id(55))],
         ),
         (
             "a job missing from the cached state, whose user would get 404",
-            |h| h.cached_jobs.retain(|id| id != &job_id(3)),
-            &[Missing::JobInView(job_id(3))],
+            |state| state.cached_jobs.retain(|id| id != &job_id(3)),
+            &[Discrepancy::JobNotCached(job_id(3))],
         ),
         (
             "a machine missing from its shard",
-            |h| h.machines.retain(|id| id != &machine_id(22)),
-            &[Missing::Machine(ShardId(0), machine_id(22))],
+            |state| state.machines.retain(|id| id != &machine_id(22)),
+            &[Discrepancy::MachineNotInShard(ShardId(0), machine_id(22))],
         ),
         (
             "a machine missing from the cached state",
-            |h| h.cached_machines.retain(|id| id != &machine_id(39)),
-            &[Missing::MachineInView(machine_id(39))],
+            |state| state.cached_machines.retain(|id| id != &machine_id(39)),
+            &[Discrepancy::MachineNotCached(machine_id(39))],
         ),
     ];
-    for (name, lose, expected) in cases {
+    for (name, remove_record, expected) in cases {
         for limit in [1, 4, 1000] {
             let mut state = complete_state();
-            lose(&mut state);
+            remove_record(&mut state);
             let (found, _) = audit_twice(&store(), &mut state, limit, |_| {});
             assert_eq!(found, expected, "{name}, {limit}");
         }
@@ -188,17 +190,17 @@
 }
 
 #[test]
-fn a_record_that_the_watch_delivers_between_the_reads_is_no_finding() {
+fn a_record_that_the_watch_delivers_between_the_reads_is_not_a_finding() {
     // The watch delivers the jobs between the two reads.
     let mut state = complete_state();
     state.revision = 80;
     state.jobs.remove(&job_id(17));
     state.cached_jobs.remove(&job_id(18));
-    let late = |h: &mut LeaderState| {
-        h.jobs.insert(job_id(17));
-        h.cached_jobs.insert(job_id(18));
+    let deliver_jobs = |state: &mut LeaderState| {
+        state.jobs.insert(job_id(17));
+        state.cached_jobs.insert(job_id(18));
     };
-    assert_eq!(audit_twice(&store(), &mut state, 4, late).0, []);
+    assert_eq!(audit_twice(&store(), &mut state, 4, deliver_jobs).0, []);
 }
 
 #[test]
@@ -209,22 +211,24 @@
     let store = store();
     let mut audit = Audit::default();
     let read = |audit: &mut Audit, items: &[Item], state: &LeaderState| {
-        audit.next(state).unwrap();
-        audit.take(items, false, store.revision, state).len()
+        audit.next_slice(state).unwrap();
+        audit
+            .compare_slice(items, false, store.revision, state)
+            .len()
     };
-    // The batch first, then the jobs.
+    // The job batch is read first, then the jobs' own records.
     let (batch, _) = store.slice("c/pack/", "", 100);
     assert_eq!(read(&mut audit, &batch, &state), 0);
     let (mut items, _) = store.slice("c/job/", "", 100);
     assert_eq!(read(&mut audit, &items, &state), 0);
     assert_eq!(
-        audit.next(&state),
+        audit.next_slice(&state),
         None,
         "the cached state is older than the first read"
     );
     state.revision = 90;
-    assert!(audit.next(&state).unwrap().second);
-    // A record that changed between the two reads is no finding.
+    assert!(audit.next_slice(&state).unwrap().is_second_read);
+    // A record that changed between the two reads is not a finding.
     for item in &mut items {
         item.revision = Revision(89);
     }
@@ -233,12 +237,12 @@
 
 #[test]
 fn records_of_unknown_shards_are_reported_and_not_repaired() {
-    let lost = JobRecord {
+    let misplaced = JobRecord {
         shard: ShardId(7),
         ..job_record(spec(90, 1))
     };
     let mut store = store();
-    store.items.push(job_item(&lost));
+    store.items.push(job_item(&misplaced));
     store
         .items
         .push(machine_batch_item(77, &[(90, machine(7))]));
@@ -249,15 +253,15 @@
     assert_eq!(
         found,
         [
-            Missing::JobShard(ShardId(7), job_id(90)),
-            Missing::MachineShard(ShardId(7), machine_id(90)),
+            Discrepancy::JobInUnknownShard(ShardId(7), job_id(90)),
+            Discrepancy::MachineInUnknownShard(ShardId(7), machine_id(90)),
         ]
     );
-    assert!(found.iter().all(|f| !f.can_be_taken_up()));
+    assert!(found.iter().all(|f| !f.is_repairable()));
 }
 
 #[test]
-fn the_counter_is_raised_to_the_highest_plausible_token_that_workers_have_seen() {
+fn the_counter_is_raised_to_the_highest_plausible_observed_token() {
     let raise = |to| CounterDecision::Raise {
         to: FencingToken(to),
         machine: machine_id(1),
@@ -266,20 +270,20 @@
         fencing_token: FencingToken(fencing_token),
         machine: machine_id(1),
     };
-    // (observed fencing tokens with the second of their heartbeat, the counter, when its
-    // read began, the maximum gap, decision)
+    // (observed fencing tokens with the second in which their heartbeat arrived, the counter,
+    // the second in which its read began, the maximum gap, decision)
     type Case<'a> = (&'a [(u64, u64)], u64, u64, u64, CounterDecision);
     let cases: [Case<'_>; 9] = [
-        (&[], 10, 50, 100, CounterDecision::Covered),
-        (&[(10, 1)], 10, 50, 100, CounterDecision::Covered),
+        (&[], 10, 50, 100, CounterDecision::Sufficient),
+        (&[(10, 1)], 10, 50, 100, CounterDecision::Sufficient),
         (&[(11, 1)], 10, 50, 100, raise(11)),
         // The counter may have been raised between the heartbeat and the read.
-        (&[(11, 50)], 10, 50, 100, CounterDecision::Covered),
+        (&[(11, 50)], 10, 50, 100, CounterDecision::Sufficient),
         (&[(110, 1)], 10, 50, 100, raise(110)),
         (&[(111, 1)], 10, 50, 100, implausible(111)),
         // One implausible token does not prevent a plausible raise.
         (&[(60, 1), (9_999, 1)], 10, 50, 100, raise(60)),
-        // No attempt could be numbered under a later token.
+        // Attempts cannot be issued under a token after the last one.
         (
             &[(FencingToken::LAST.0, 1)],
             10,
@@ -291,13 +295,13 @@
     ];
     for (fencing_tokens, counter, began, gap, decision) in cases {
         let numbered = fencing_tokens.iter().enumerate();
-        let observed: BTreeMap<MachineId, Shown> = numbered
+        let observed: BTreeMap<MachineId, ObservedToken> = numbered
             .map(|(index, (fencing_token, second))| {
-                let shown = Shown {
+                let token = ObservedToken {
                     fencing_token: FencingToken(*fencing_token),
-                    at: at(*second),
+                    received_at: at(*second),
                 };
-                (machine_id(index + 1), shown)
+                (machine_id(index + 1), token)
             })
             .collect();
         let decided = decide(&observed, FencingToken(counter), at(began), gap);
@@ -311,7 +315,7 @@
 
 #[test]
 fn phases_follow_from_the_snapshot_and_shards_recover_independently() {
-    // (unreported, blocked, waiting, stopping, uncommitted, phase)
+    // (unreported machines, blocked, waiting, stopping and uncommitted tasks, phase)
     let cases = [
         (0, 0, 0, 0, 0, Phase::Complete),
         (2, 0, 0, 0, 0, Phase::Hear),
@@ -335,7 +339,7 @@
     assert_eq!(Phase::of(None), Phase::Read);
 
     let (blocked, healthy) = (ShardId(0), ShardId(1));
-    let mut progress = Progress::default();
+    let mut progress = RecoveryProgress::default();
     let steps = [
         (blocked, 3, Phase::Read, 0, Some((None, 0, 0))),
         (healthy, 4, Phase::Read, 0, Some((None, 0, 0))),
@@ -355,7 +359,7 @@
             5,
             Some((Some(Phase::Hear), 3, 5)),
         ),
-        // Launches after completion are ordinary work.
+        // Launches after completion are normal operation.
         (healthy, 4, Phase::Act, 9, None),
         (blocked, 3, Phase::Decide, 30, None),
         // Recovery starts again when the shard is acquired again.
@@ -364,10 +368,16 @@
     for (shard, fencing_token, phase, second, expected) in steps {
         let transition = progress.update(shard, FencingToken(fencing_token), phase, at(second));
         let seconds = |d: Duration| d.as_secs();
-        let transition = transition.map(|t| (t.from, seconds(t.lasted), seconds(t.total)));
-        assert_eq!(transition, expected, "shard {shard} at {second}");
+        let transition = transition.map(|t| {
+            (
+                t.from,
+                seconds(t.previous_duration),
+                seconds(t.since_acquired),
+            )
+        });
+        assert_eq!(transition, expected, "shard {shard} at {second} s");
     }
     assert_eq!(progress.recovering_since(blocked), Some(at(0)));
-    progress.keep(|shard| shard == healthy);
+    progress.retain_led(|shard| shard == healthy);
     assert_eq!(progress.recovering_since(blocked), None);
 }
--- a/crates/pulleywood-recovery/tests/common/mod.rs
+++ b/crates/pulleywood-recovery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stored records, heartbeats and settings for the tests of this crate.
-#![allow(dead_code, reason = "each test file uses its share")]
+//! Sample records, heartbeats and settings for the tests of this crate.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use pulleywood_protocol::cbor::{self};
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
@@ -16,10 +16,10 @@
 use pulleywood_testkit::samples;
 pub use pulleywood_testkit::samples::job_record;
 
-/// The last fencing token issued, and the one of each shard's leader.
-pub const FENCING_TOKEN_NOW: FencingToken = FencingToken(9);
+/// The last fencing token issued, under which each shard is led.
+pub const CURRENT_FENCING_TOKEN: FencingToken = FencingToken(9);
 pub const SHARDS: u32 = 2;
-pub const CHUNK: u32 = 1024;
+pub const CHUNK_SIZE: u32 = 1024;
 
 pub fn config() -> Config {
     samples::config(SHARDS)
@@ -64,14 +64,14 @@
     item(machine_batch_key(n), &machine_batch)
 }
 
-/// The layout, the fencing-token counter and the leaders of each shard.
+/// The layout, the fencing-token counter, and the current and previous leader of each shard.
 pub fn base_items() -> Vec<Item> {
     let mut items = vec![
         item(LAYOUT.into(), &Layout { shards: SHARDS }),
         item(
             FENCING_TOKEN.into(),
             &FencingTokenCounter {
-                last: FENCING_TOKEN_NOW,
+                last: CURRENT_FENCING_TOKEN,
             },
         ),
     ];
@@ -79,7 +79,7 @@
         let holder = LeaseHolder {
             member: "c-0".into(),
             boot: 1,
-            fencing_token: FENCING_TOKEN_NOW,
+            fencing_token: CURRENT_FENCING_TOKEN,
         };
         items.push(item(shard_leader_key(shard), &holder));
         let settled = true;
@@ -100,7 +100,7 @@
     Attempt::from_parts(FencingToken(fencing_token), counter).unwrap()
 }
 
-pub fn seen(n: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
+pub fn reported(n: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
     TaskStatus {
         task: task(n, index),
         attempt,
@@ -113,7 +113,7 @@
 pub fn exited(n: u64, index: u32, attempt: Attempt, cause: Cause) -> TaskStatus {
     TaskStatus {
         cause: Some(cause),
-        ..seen(n, index, attempt, TaskState::Exited)
+        ..reported(n, index, attempt, TaskState::Exited)
     }
 }
 
@@ -132,6 +132,7 @@
     }
 }
 
-pub fn at(s: u64) -> MonotonicTime {
-    MonotonicTime(3_600_000 + s * 1000)
+/// A time this many seconds after an arbitrary start.
+pub fn at(seconds: u64) -> MonotonicTime {
+    MonotonicTime(3_600_000 + seconds * 1000)
 }
--- a/crates/pulleywood-recovery/tests/reconcile.rs
+++ b/crates/pulleywood-recovery/tests/reconcile.rs
@@ -1,5 +1,5 @@
-//! Reconciliation: exactly one class and one action for each machine and reported task,
-//! whatever the evidence is, and the report that `inspect` prints.
+//! Reconciliation assigns exactly one class and one action to each machine and each reported
+//! attempt for any evidence; and the report of `inspect`.
 
 mod common;
 
@@ -11,7 +11,9 @@
 use pulleywood_protocol::worker::{Cause, Heartbeat, TaskState, TaskStatus};
 use pulleywood_protocol::{Attempt, FencingToken, JobStatus, MachineId, Rank, Shape, ShardId};
 use pulleywood_recovery::commands::CommandPlan;
-use pulleywood_recovery::evidence::{Blocks, CloudEvidence, Evidence, Heard, StoredState};
+use pulleywood_recovery::evidence::{
+    BlockedScope, CloudEvidence, Evidence, ReceivedHeartbeat, StoredState,
+};
 use pulleywood_recovery::machine_class::{MachineAction, MachineClass};
 use pulleywood_recovery::reconcile::min_launches;
 use pulleywood_recovery::report::Report as RecoveryReport;
@@ -23,14 +25,14 @@
 /// Stored records, heartbeats and the cloud's list, to be changed by each test.
 struct Scenario {
     items: Vec<Item>,
-    heard: BTreeMap<MachineId, Heard>,
-    expired: BTreeSet<MachineId>,
+    heartbeats: BTreeMap<MachineId, ReceivedHeartbeat>,
+    expired_leases: BTreeSet<MachineId>,
     cloud: Option<CloudEvidence>,
 }
 
 impl Scenario {
     /// Job 1 has four tasks in shard 0, of which task 3 is done. Machines 0 and 1 are in
-    /// shard 0, machine 2 is in shard 1. No heartbeat came.
+    /// shard 0, machine 2 is in shard 1. No machine has sent a heartbeat.
     fn new() -> Scenario {
         let mut items = base_items();
         let mut record = job_record(spec(1, 4));
@@ -42,24 +44,29 @@
         ));
         Scenario {
             items,
-            heard: BTreeMap::new(),
-            expired: BTreeSet::new(),
+            heartbeats: BTreeMap::new(),
+            expired_leases: BTreeSet::new(),
             cloud: None,
         }
     }
 
-    /// A current heartbeat of this machine lists these tasks.
+    /// Adds a current heartbeat of `machine` that lists `tasks`.
     fn with_heartbeat(mut self, machine: usize, tasks: Vec<TaskStatus>) -> Scenario {
-        self.add_heartbeat(heartbeat(machine, FENCING_TOKEN_NOW, tasks), true);
+        self.add_heartbeat(heartbeat(machine, CURRENT_FENCING_TOKEN, tasks), true);
         self
     }
 
-    fn add_heartbeat(&mut self, heartbeat: Heartbeat, current: bool) {
-        let heard = Heard { heartbeat, current };
-        self.heard.insert(heard.heartbeat.machine.clone(), heard);
+    fn add_heartbeat(&mut self, heartbeat: Heartbeat, is_current: bool) {
+        let machine = heartbeat.machine.clone();
+        let received = ReceivedHeartbeat {
+            heartbeat,
+            is_current,
+        };
+        self.heartbeats.insert(machine, received);
     }
 
-    /// All machines sent current heartbeats; this one lists these tasks, the others none.
+    /// Adds current heartbeats of all machines. That of `machine` lists `tasks`, the others
+    /// list none.
     fn with_all_heartbeats(self, machine: usize, tasks: Vec<TaskStatus>) -> Scenario {
         let mut scenario = self;
         for other in (0..3).filter(|m| *m != machine) {
@@ -69,57 +76,62 @@
     }
 
     fn stored(&self) -> StoredState {
-        StoredState::from_items(&self.items, 77, CHUNK)
+        StoredState::from_items(&self.items, 77, CHUNK_SIZE)
     }
 
-    /// Reconciles, checks that each machine, attempt and task is classified once, and passes
-    /// the result on.
+    /// Reconciles, checks that each machine, attempt and task is classified exactly once, and
+    /// calls `check` with the result.
     fn reconcile<T>(&self, check: impl FnOnce(&Reconciliation, &Evidence<'_>) -> T) -> T {
         let (config, stored) = (config(), self.stored());
         let evidence = Evidence {
             config: &config,
             stored: &stored,
-            heard: &self.heard,
-            expired: &self.expired,
+            heartbeats: &self.heartbeats,
+            expired_leases: &self.expired_leases,
             cloud: self.cloud.as_ref(),
             now: at(100),
         };
-        let found = reconcile(&evidence);
-        assert_all_classified_once(&found, &evidence);
-        check(&found, &evidence)
+        let reconciliation = reconcile(&evidence);
+        assert_all_classified_once(&reconciliation, &evidence);
+        check(&reconciliation, &evidence)
     }
 }
 
-/// Each machine and each reported attempt has one finding; each task of a live
-/// job is in exactly one set.
-fn assert_all_classified_once(found: &Reconciliation, evidence: &Evidence<'_>) {
-    for id in evidence.stored.machines.keys().chain(evidence.heard.keys()) {
-        assert!(found.machines.contains_key(id), "{id}");
+/// Asserts that each machine and each reported attempt has one finding, and that each task of
+/// a live job is in exactly one set.
+fn assert_all_classified_once(reconciliation: &Reconciliation, evidence: &Evidence<'_>) {
+    for id in evidence
+        .stored
+        .machines
+        .keys()
+        .chain(evidence.heartbeats.keys())
+    {
+        assert!(reconciliation.machines.contains_key(id), "{id}");
     }
     let reported: usize = evidence
-        .heard
+        .heartbeats
         .values()
         .map(|h| h.heartbeat.tasks.len())
         .sum();
-    assert_eq!(found.tasks.len(), reported);
+    assert_eq!(reconciliation.tasks.len(), reported);
     for (id, job) in &evidence.stored.jobs {
         if evidence.stored.is_blocked(id) {
             continue;
         }
-        let sets = &found.jobs[id];
+        let sets = &reconciliation.jobs[id];
         for task in 0..job.spec.tasks {
-            let named = sets.named();
-            let holding = named.iter().filter(|(_, set)| set.contains(task));
-            assert_eq!(holding.count(), 1, "{id}/{task}: {sets:?}");
+            let named_sets = sets.named_sets();
+            let containing = named_sets.iter().filter(|(_, set)| set.contains(task));
+            assert_eq!(containing.count(), 1, "{id}/{task}: {sets:?}");
         }
     }
 }
 
-/// A fencing token from before the failover.
+/// A fencing token that was issued before the failover.
 const EARLIER_FENCING_TOKEN: u64 = 5;
 
 fn running(n: u64, index: u32) -> TaskStatus {
-    seen(
+    reported(
         n,
         index,
         attempt(EARLIER_FENCING_TOKEN, 1),
@@ -129,8 +141,8 @@
 
 #[test]
 fn each_reported_attempt_gets_one_class_and_one_action() {
-    let fetching = seen(1, 0, attempt(EARLIER_FENCING_TOKEN, 1), TaskState::Fetching);
-    let saving = seen(1, 0, attempt(EARLIER_FENCING_TOKEN, 1), TaskState::Saving);
+    let fetching = reported(1, 0, attempt(EARLIER_FENCING_TOKEN, 1), TaskState::Fetching);
+    let saving = reported(1, 0, attempt(EARLIER_FENCING_TOKEN, 1), TaskState::Saving);
     let cases: [(&str, TaskStatus, TaskClass, TaskAction); 14] = [
         (
             "running",
@@ -141,7 +153,7 @@
         ("fetching", fetching, TaskClass::Matched, TaskAction::Keep),
         ("saving", saving, TaskClass::Matched, TaskAction::Keep),
         (
-            "done, not recorded",
+            "done and not recorded",
             exited(1, 1, attempt(EARLIER_FENCING_TOKEN, 1), Cause::Done),
             TaskClass::DoneNotCommitted,
             TaskAction::CommitThenClear,
@@ -153,7 +165,7 @@
             TaskAction::Clear,
         ),
         (
-            "recorded as done, running all the same",
+            "recorded as done and still running",
             running(1, 3),
             TaskClass::DoneStillRunning,
             TaskAction::Stop,
@@ -171,13 +183,13 @@
             TaskAction::Clear,
         ),
         (
-            "of a job that the store never heard of",
+            "of a job without any stored record",
             running(8, 0),
             TaskClass::JobUnknown,
             TaskAction::VerifyThenStop,
         ),
         (
-            "ended, of a job that the store never heard of",
+            "exited, of a job without any stored record",
             exited(8, 0, attempt(EARLIER_FENCING_TOKEN, 1), Cause::Done),
             TaskClass::JobUnknown,
             TaskAction::Clear,
@@ -189,24 +201,24 @@
             TaskAction::Stop,
         ),
         (
-            "past the job's end",
+            "with an index beyond the last task of the job",
             running(1, 4),
             TaskClass::Impossible,
             TaskAction::Stop,
         ),
         (
-            "an attempt of the future",
-            seen(
+            "with an attempt under a fencing token not yet issued",
+            reported(
                 1,
                 0,
-                attempt(FENCING_TOKEN_NOW.0 + 1, 1),
+                attempt(CURRENT_FENCING_TOKEN.0 + 1, 1),
                 TaskState::Running,
             ),
             TaskClass::Impossible,
             TaskAction::Stop,
         ),
         (
-            "of a job whose record cannot be read",
+            "of a job whose record cannot be decoded",
             running(6, 0),
             TaskClass::JobUnreadable,
             TaskAction::Keep,
@@ -214,19 +226,21 @@
     ];
     for (name, task, class, action) in cases {
         let mut scenario = Scenario::new();
-        let over = FinalRecord {
+        let final_record = FinalRecord {
             status: JobStatus::Cancelled,
             done: 0,
             team: "red".into(),
             slots: Slots::default(),
         };
-        scenario.items.push(item(format!("{CLOSED}j-7"), &over));
+        scenario
+            .items
+            .push(item(format!("{CLOSED}j-7"), &final_record));
         scenario
             .items
             .push(item("c/job/0/j-6".into(), &"of a later release"));
         let scenario = scenario.with_all_heartbeats(0, vec![task]);
-        scenario.reconcile(|found, _| {
-            let finding = &found.tasks[0];
+        scenario.reconcile(|reconciliation, _| {
+            let finding = &reconciliation.tasks[0];
             assert_eq!((finding.class, finding.action), (class, action), "{name}");
         });
     }
@@ -234,11 +248,11 @@
 
 #[test]
 fn tasks_in_an_unproven_heartbeat_are_not_launched_elsewhere() {
-    // Unproven: a heartbeat that may be a late copy, one with a fencing token above the
-    // counter, and one of a machine without a record.
-    // (machine, fencing token, current, class)
+    // A heartbeat is unproven if it may be a delayed copy, if its fencing token is above the
+    // counter, or if its machine has no record.
+    // (machine, fencing token, whether the heartbeat is current, class)
     let cases = [
-        (0, FENCING_TOKEN_NOW, true, TaskClass::Matched),
+        (0, CURRENT_FENCING_TOKEN, true, TaskClass::Matched),
         (
             0,
             FencingToken(EARLIER_FENCING_TOKEN),
@@ -247,24 +261,24 @@
         ),
         (
             0,
-            FencingToken(FENCING_TOKEN_NOW.0 + 50),
+            FencingToken(CURRENT_FENCING_TOKEN.0 + 50),
             true,
             TaskClass::Unproven,
         ),
-        (9, FENCING_TOKEN_NOW, true, TaskClass::Unproven),
+        (9, CURRENT_FENCING_TOKEN, true, TaskClass::Unproven),
     ];
-    for (machine, fencing_token, current, class) in cases {
+    for (machine, fencing_token, is_current, class) in cases {
         let mut scenario = Scenario::new().with_all_heartbeats(0, vec![]);
         scenario.add_heartbeat(
             heartbeat(machine, fencing_token, vec![running(1, 0)]),
-            current,
+            is_current,
         );
-        scenario.reconcile(|found, _| {
+        scenario.reconcile(|reconciliation, _| {
             assert_eq!(
-                found.tasks[0].class, class,
-                "{machine} {fencing_token} {current}"
+                reconciliation.tasks[0].class, class,
+                "{machine} {fencing_token} {is_current}"
             );
-            let sets = &found.jobs[&job_id(1)];
+            let sets = &reconciliation.jobs[&job_id(1)];
             assert!(
                 !sets.missing.contains(0),
                 "{machine} {fencing_token}: {sets:?}"
@@ -285,23 +299,23 @@
         age_s: Amount(50.0),
     };
     let known = [machine_id(0), machine_id(1), machine_id(2)];
-    // Machine 0 has been missing from every list for so many seconds.
-    let missing_for = |s: u64| {
+    // Machine 0 has been missing from every list for this many seconds.
+    let missing_for = |seconds: u64| {
         let mut cloud = CloudEvidence::new(Duration::from_secs(5));
         let others = [
             rental(1, RentalStatus::Running),
             rental(2, RentalStatus::Running),
         ];
-        cloud.take(&others, known.iter(), at(100 - s));
+        cloud.update(&others, known.iter(), at(100 - seconds));
         Some(cloud)
     };
     let listing = |rentals: &[Rental]| {
         let mut cloud = CloudEvidence::new(Duration::from_secs(5));
-        cloud.take(rentals, known.iter(), at(100));
+        cloud.update(rentals, known.iter(), at(100));
         Some(cloud)
     };
     type Setup = fn(&mut Scenario);
-    let nothing: Setup = |_| {};
+    let no_change: Setup = |_| {};
     type Case = (
         &'static str,
         usize,
@@ -312,15 +326,15 @@
     );
     let cases: [Case; 14] = [
         (
-            "heard",
+            "sent a current heartbeat",
             0,
             None,
-            |s| s.add_heartbeat(heartbeat(0, FENCING_TOKEN_NOW, vec![]), true),
+            |s| s.add_heartbeat(heartbeat(0, CURRENT_FENCING_TOKEN, vec![]), true),
             MachineClass::Known,
             MachineAction::Keep,
         ),
         (
-            "heard, but perhaps late",
+            "sent a heartbeat that may be delayed",
             0,
             None,
             |s| s.add_heartbeat(heartbeat(0, FencingToken(3), vec![]), false),
@@ -328,7 +342,7 @@
             MachineAction::Announce,
         ),
         (
-            "has seen a fencing token that the counter never issued",
+            "has seen a fencing token above the counter",
             0,
             None,
             |s| s.add_heartbeat(heartbeat(0, FencingToken(50), vec![]), true),
@@ -336,7 +350,7 @@
             MachineAction::RaiseCounter,
         ),
         (
-            "heard, no record",
+            "sent a heartbeat, has no record",
             9,
             None,
             |s| s.add_heartbeat(heartbeat(9, FencingToken(0), vec![]), true),
@@ -344,88 +358,88 @@
             MachineAction::Register,
         ),
         (
-            "recorded in two values",
+            "recorded in two machine batches",
             0,
             None,
             |s| {
                 s.items.push(machine_batch_item(2, &[(0, machine(1))]));
-                s.add_heartbeat(heartbeat(0, FENCING_TOKEN_NOW, vec![]), true);
+                s.add_heartbeat(heartbeat(0, CURRENT_FENCING_TOKEN, vec![]), true);
             },
             MachineClass::RecordedTwice,
             MachineAction::Report,
         ),
         (
-            "unreported",
+            "sent no heartbeat",
             0,
             None,
-            nothing,
+            no_change,
             MachineClass::Unreported,
             MachineAction::Wait,
         ),
         (
-            "unreported for longer than its lease",
+            "sent no heartbeat, lease expired",
             0,
             None,
-            |s| s.expired.extend([machine_id(0)]),
+            |s| s.expired_leases.extend([machine_id(0)]),
             MachineClass::LeaseExpired,
-            MachineAction::FreeTasks,
+            MachineAction::RelaunchTasks,
         ),
         (
-            "missing from one list, which may be older than the one before",
+            "missing from one list, which may be older than the list before",
             0,
             missing_for(0),
-            nothing,
+            no_change,
             MachineClass::Unreported,
             MachineAction::Wait,
         ),
         (
-            "missing for twice the lag, lists may lag so far",
+            "missing for twice the lag, which is allowed for",
             0,
             missing_for(10),
-            nothing,
+            no_change,
             MachineClass::Unreported,
             MachineAction::Wait,
         ),
         (
-            "missing for longer",
+            "missing for longer than twice the lag",
             0,
             missing_for(11),
-            nothing,
+            no_change,
             MachineClass::Gone,
             MachineAction::ConfirmRelease,
         ),
         (
-            "failed",
+            "listed as failed",
             0,
             listing(&[rental(0, RentalStatus::Failed)]),
-            nothing,
+            no_change,
             MachineClass::Gone,
             MachineAction::ConfirmRelease,
         ),
         (
-            "failed and never recorded",
+            "listed as failed, has no record",
             9,
             listing(&[rental(9, RentalStatus::Failed)]),
-            nothing,
+            no_change,
             MachineClass::FailedUnrecorded,
             MachineAction::ConfirmRelease,
         ),
         (
-            "booting",
+            "listed as starting, has no record",
             9,
             listing(&[rental(9, RentalStatus::Starting)]),
-            nothing,
-            MachineClass::NeverHeard,
+            no_change,
+            MachineClass::NoHeartbeat,
             MachineAction::Wait,
         ),
         (
-            "recorded before its worker was known",
+            "recorded without a worker address",
             3,
             None,
             |s| {
-                let mut fresh = machine(0);
-                fresh.endpoint = String::new();
-                s.items.push(machine_batch_item(2, &[(3, fresh)]));
+                let mut record = machine(0);
+                record.endpoint = String::new();
+                s.items.push(machine_batch_item(2, &[(3, record)]));
             },
             MachineClass::NeverUsed,
             MachineAction::Keep,
@@ -435,8 +449,8 @@
         let mut scenario = Scenario::new();
         scenario.cloud = cloud;
         set_up(&mut scenario);
-        scenario.reconcile(|found, _| {
-            let finding = &found.machines[&machine_id(machine)];
+        scenario.reconcile(|reconciliation, _| {
+            let finding = &reconciliation.machines[&machine_id(machine)];
             assert_eq!((finding.class, finding.action), (class, action), "{name}");
         });
     }
@@ -444,8 +458,8 @@
 
 #[test]
 fn unreported_tasks_wait_for_every_machine_that_may_run_them() {
-    // (machines with heartbeats, machines with expired leases, the job's zone, missing,
-    // awaiting)
+    // (machines with heartbeats, machines with expired leases, the job's zone, number of
+    // missing tasks, number of unreported tasks)
     type Case<'a> = (&'a [usize], &'a [usize], Option<&'a str>, u64, u64);
     let cases: [Case<'_>; 6] = [
         (&[], &[], None, 0, 3),
@@ -454,10 +468,10 @@
         (&[0, 1], &[], None, 3, 0),
         (&[0], &[1], None, 3, 0),
         (&[], &[0, 1], None, 3, 0),
-        // No unreported machine is in the only zone that its tasks may run in.
+        // No unreported machine is in the only zone that the tasks may run in.
         (&[], &[], Some("b"), 3, 0),
     ];
-    for (heard, expired, zone, missing, awaiting) in cases {
+    for (reported, expired, zone, missing, unreported) in cases {
         let mut scenario = Scenario::new();
         if let Some(zone) = zone {
             let mut record = job_record(spec(1, 4));
@@ -466,20 +480,20 @@
             scenario.items.retain(|i| !i.path.starts_with("c/job/"));
             scenario.items.push(job_item(&record));
         }
-        scenario.expired = expired.iter().map(|m| machine_id(*m)).collect();
-        for m in heard {
-            scenario = scenario.with_heartbeat(*m, vec![]);
+        scenario.expired_leases = expired.iter().map(|m| machine_id(*m)).collect();
+        for machine in reported {
+            scenario = scenario.with_heartbeat(*machine, vec![]);
         }
-        scenario.reconcile(|found, evidence| {
-            let sets = &found.jobs[&job_id(1)];
-            let counts = (sets.missing.len(), sets.awaiting.len());
+        scenario.reconcile(|reconciliation, evidence| {
+            let sets = &reconciliation.jobs[&job_id(1)];
+            let counts = (sets.missing.len(), sets.unreported.len());
             assert_eq!(
                 counts,
-                (missing, awaiting),
-                "{heard:?} {expired:?} {zone:?}"
+                (missing, unreported),
+                "{reported:?} {expired:?} {zone:?}"
             );
             assert_eq!(
-                CommandPlan::new(found, evidence).launch_count() as u64,
+                CommandPlan::new(reconciliation, evidence).launch_count() as u64,
                 missing
             );
         });
@@ -487,7 +501,7 @@
 }
 
 #[test]
-fn of_two_running_attempts_the_newer_is_kept_and_no_third_is_launched() {
+fn the_newer_of_two_running_attempts_is_kept_and_no_third_is_launched() {
     let (older, newer) = (
         attempt(EARLIER_FENCING_TOKEN, 1),
         attempt(EARLIER_FENCING_TOKEN + 1, 0),
@@ -498,24 +512,25 @@
         (newer, older, [TaskClass::Matched, TaskClass::OlderAttempt]),
     ];
     for (first, second, classes) in cases {
-        let on = |a: Attempt| vec![seen(1, 0, a, TaskState::Running)];
+        let running_attempt = |attempt: Attempt| vec![reported(1, 0, attempt, TaskState::Running)];
         let scenario = Scenario::new()
-            .with_heartbeat(0, on(first))
-            .with_heartbeat(1, on(second));
+            .with_heartbeat(0, running_attempt(first))
+            .with_heartbeat(1, running_attempt(second));
         let scenario = scenario.with_heartbeat(2, vec![]);
-        scenario.reconcile(|found, _| {
-            let found_classes: Vec<TaskClass> = found.tasks.iter().map(|f| f.class).collect();
-            assert_eq!(found_classes, classes);
-            let sets = &found.jobs[&job_id(1)];
+        scenario.reconcile(|reconciliation, _| {
+            let actual_classes: Vec<TaskClass> =
+                reconciliation.tasks.iter().map(|f| f.class).collect();
+            assert_eq!(actual_classes, classes);
+            let sets = &reconciliation.jobs[&job_id(1)];
             assert!(sets.running.contains(0) && !sets.missing.contains(0));
         });
     }
-    // The same attempt twice in one heartbeat.
-    let twice = vec![running(1, 0), running(1, 0)];
+    // The same attempt is listed twice in one heartbeat.
+    let duplicate = vec![running(1, 0), running(1, 0)];
     Scenario::new()
-        .with_all_heartbeats(0, twice)
-        .reconcile(|found, _| {
-            assert_eq!(found.tasks[1].class, TaskClass::Impossible);
+        .with_all_heartbeats(0, duplicate)
+        .reconcile(|reconciliation, _| {
+            assert_eq!(reconciliation.tasks[1].class, TaskClass::Impossible);
         });
 }
 
@@ -536,18 +551,21 @@
         .with_heartbeat(0, vec![running(1, 0), running(1, 3)])
         .with_heartbeat(1, vec![])
         .with_heartbeat(2, vec![running(1, 2)]);
-    scenario.reconcile(|found, _| {
+    scenario.reconcile(|reconciliation, _| {
         let class = |index| {
-            let mut findings = found.tasks.iter().filter(|f| f.task == task(1, index));
+            let mut findings = reconciliation
+                .tasks
+                .iter()
+                .filter(|f| f.task == task(1, index));
             findings.next().unwrap().class
         };
         assert_eq!(class(0), TaskClass::Matched);
         assert_eq!(class(2), TaskClass::Matched);
         assert_eq!(class(3), TaskClass::OtherShard);
-        let sets = &found.jobs[&job_id(1)];
+        let sets = &reconciliation.jobs[&job_id(1)];
         assert!(
-            sets.ending.contains(3),
-            "it ends before it is launched elsewhere"
+            sets.blocked.contains(3),
+            "it must stop before it is launched in its new shard"
         );
         assert!(sets.missing.contains(1));
     });
@@ -566,26 +584,26 @@
         .find(|i| i.path == "c/rack/1")
         .unwrap();
     let Value::Map(fields) = &mut machine_batch.value else {
-        panic!("a map");
+        panic!("machine batch is not a map");
     };
     let Value::Map(machines) = &mut fields[0].1 else {
-        panic!("a map");
+        panic!("machines are not a map");
     };
     machines.push((Value::Text("vm-000044".into()), Value::Text("new".into())));
     let scenario = scenario.with_all_heartbeats(0, vec![running(1, 0), running(6, 0)]);
     let stored = scenario.stored();
-    let blocks: Vec<&Blocks> = stored.unreadable.iter().map(|u| &u.blocks).collect();
-    assert!(blocks.contains(&&Blocks::Job(job_id(6))));
-    assert!(blocks.contains(&&Blocks::Machine(machine_id(44))));
-    assert!(blocks.contains(&&Blocks::Value));
-    scenario.reconcile(|found, evidence| {
-        let finding = &found.machines[&machine_id(44)];
+    let blocks: Vec<&BlockedScope> = stored.unreadable.iter().map(|u| &u.blocks).collect();
+    assert!(blocks.contains(&&BlockedScope::Job(job_id(6))));
+    assert!(blocks.contains(&&BlockedScope::Machine(machine_id(44))));
+    assert!(blocks.contains(&&BlockedScope::WholeValue));
+    scenario.reconcile(|reconciliation, evidence| {
+        let finding = &reconciliation.machines[&machine_id(44)];
         assert_eq!(finding.class, MachineClass::Unreadable);
-        assert_eq!(found.tasks[0].class, TaskClass::Matched);
-        assert_eq!(found.tasks[1].action, TaskAction::Keep);
-        // The unreadable machine may run any task that no heartbeat lists.
-        assert_eq!(found.jobs[&job_id(1)].missing.len(), 0);
-        let report = RecoveryReport::new(found, evidence, true);
+        assert_eq!(reconciliation.tasks[0].class, TaskClass::Matched);
+        assert_eq!(reconciliation.tasks[1].action, TaskAction::Keep);
+        // The machine whose record cannot be decoded may run any task that no heartbeat lists.
+        assert_eq!(reconciliation.jobs[&job_id(1)].missing.len(), 0);
+        let report = RecoveryReport::new(reconciliation, evidence, true);
         assert!(report.has_findings());
         for key in ["c/job/0/j-6", "c/rack/1", "c/something/new"] {
             assert!(report.to_text().contains(key), "{key}");
@@ -606,15 +624,15 @@
         (record.spec.rank, record.spec.shape) = (rank, shape);
         scenario.items.push(job_item(&record));
     }
-    let replica = seen(13, 0, attempt(EARLIER_FENCING_TOKEN, 4), TaskState::Running);
+    let replica = reported(13, 0, attempt(EARLIER_FENCING_TOKEN, 4), TaskState::Running);
     let ended = exited(13, 1, attempt(EARLIER_FENCING_TOKEN, 4), Cause::Done);
     let scenario = scenario.with_all_heartbeats(0, vec![replica, ended]);
-    scenario.reconcile(|found, evidence| {
-        let plan = CommandPlan::new(found, evidence);
+    scenario.reconcile(|reconciliation, evidence| {
+        let plan = CommandPlan::new(reconciliation, evidence);
         let order: Vec<String> = plan.launches.iter().map(|l| l.job.to_string()).collect();
         assert_eq!(order, ["j-13", "j-14", "j-11", "j-1", "j-12"]);
         assert_eq!(plan.launches[0].tasks, [1], "only the missing replica");
-        let sets = &found.jobs[&job_id(13)];
+        let sets = &reconciliation.jobs[&job_id(13)];
         let minimum = min_launches(&evidence.stored.jobs[&job_id(13)], sets);
         assert_eq!(minimum, 1);
     });
@@ -623,12 +641,12 @@
 #[test]
 fn the_report_states_actions_and_reasons_in_text_and_json() {
     let scenario = Scenario::new().with_heartbeat(0, vec![running(1, 0), running(8, 1)]);
-    scenario.reconcile(|found, evidence| {
-        let report = RecoveryReport::new(found, evidence, true);
+    scenario.reconcile(|reconciliation, evidence| {
+        let report = RecoveryReport::new(reconciliation, evidence, true);
         let text = report.to_text();
         for line in [
-            "store at revision 77, fencing token counter 9, 1 live jobs",
-            "shard 0: held by c-0, fencing token 9, 2 machines, 1 jobs",
+            "store at revision 77, fencing-token counter 9, 1 live jobs",
+            "shard 0: leader c-0, fencing token 9, 2 machines, 1 jobs",
             "machine vm-000001: silent -> wait",
             "task j-8/1 on vm-000000: job unknown -> verify then halt",
             "would now launch 0 tasks",
@@ -642,43 +660,44 @@
         assert_eq!(json["task_findings"][0]["action"], "verify_then_halt");
         assert!(report.has_findings());
     });
-    // Neither a healthy cluster nor workers that were not asked are findings.
-    for asked in [true, false] {
+    // A healthy cluster has no findings, also if workers were not asked.
+    for workers_asked in [true, false] {
         let mut scenario = Scenario::new();
-        if asked {
+        if workers_asked {
             scenario = scenario.with_all_heartbeats(0, vec![running(1, 0)]);
         }
-        scenario.reconcile(|found, evidence| {
+        scenario.reconcile(|reconciliation, evidence| {
             assert!(
-                !RecoveryReport::new(found, evidence, asked).has_findings(),
-                "{asked}"
+                !RecoveryReport::new(reconciliation, evidence, workers_asked).has_findings(),
+                "{workers_asked}"
             );
         });
     }
     // A shard without a leader is a finding.
     let mut scenario = Scenario::new();
     scenario.items.retain(|i| i.path != "c/part/1");
-    scenario.reconcile(|found, evidence| {
-        assert!(RecoveryReport::new(found, evidence, false).has_findings());
+    scenario.reconcile(|reconciliation, evidence| {
+        assert!(RecoveryReport::new(reconciliation, evidence, false).has_findings());
     });
 }
 
-/// The keys of an object in the JSON of `inspect`, which scripts of operators read.
+/// The keys of a JSON object, in order, joined by spaces.
 fn keys(value: &serde_json::Value) -> String {
-    let keys = value.as_object().expect("an object").keys();
+    let keys = value.as_object().expect("not a JSON object").keys();
     keys.cloned().collect::<Vec<_>>().join(" ")
 }
 
 #[test]
-fn the_report_keeps_its_keys() {
+fn the_report_keeps_its_json_keys() {
     let mut scenario = Scenario::new().with_heartbeat(0, vec![running(1, 0), running(8, 1)]);
     scenario.items.retain(|item| item.path != "c/part/1");
     let mut unreadable = job_item(&job_record(spec(3, 1)));
     unreadable.value = Value::Null;
     scenario.items.push(unreadable);
-    scenario.reconcile(|found, evidence| {
-        let report = RecoveryReport::new(found, evidence, true);
-        let json: serde_json::Value = serde_json::from_str(&report.to_json()).expect("JSON");
+    scenario.reconcile(|reconciliation, evidence| {
+        let report = RecoveryReport::new(reconciliation, evidence, true);
+        let json: serde_json::Value =
+            serde_json::from_str(&report.to_json()).expect("invalid JSON");
         assert_eq!(
             keys(&json),
             "jobs machine_findings machines orders revision shards task_findings tasks term \
--- a/crates/pulleywood-recovery/tests/report_names.rs
+++ b/crates/pulleywood-recovery/tests/report_names.rs
@@ -1,5 +1,5 @@
-//! Names in the JSON of `inspect`, which operators' scripts read. They were recorded from an
-//! earlier release and never change.
+//! Names of classes, actions and phases in the JSON of `inspect`. Operators' scripts read them,
+//! so they stay those of an earlier release.
 
 use pulleywood_recovery::machine_class::{MachineAction, MachineClass};
 use pulleywood_recovery::progress::Phase;
@@ -7,12 +7,13 @@
 use serde::Serialize;
 use serde_json::Value;
 
+/// The JSON names of the values, joined by spaces.
 fn names<T: Serialize>(values: &[T]) -> String {
     let names = values
         .iter()
         .map(|value| match serde_json::to_value(value) {
             Ok(Value::String(name)) => name,
-            other => panic!("{other:?}"),
+            other => panic!("not serialized as a string: {other:?}"),
         });
     names.collect::<Vec<_>>().join(" ")
 }
@@ -29,7 +30,7 @@
         MachineClass::LeaseExpired,
         MachineClass::Gone,
         MachineClass::NeverUsed,
-        MachineClass::NeverHeard,
+        MachineClass::NoHeartbeat,
         MachineClass::FailedUnrecorded,
         MachineClass::Unreadable,
     ];
@@ -44,7 +45,7 @@
         MachineAction::RaiseCounter,
         MachineAction::Register,
         MachineAction::Wait,
-        MachineAction::FreeTasks,
+        MachineAction::RelaunchTasks,
         MachineAction::ConfirmRelease,
         MachineAction::Report,
     ];
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -16,7 +16,7 @@
 };
 use pulleywood_recovery::RecoveryPolicy;
 use pulleywood_recovery::audit::Audit;
-use pulleywood_recovery::progress::Progress;
+use pulleywood_recovery::progress::RecoveryProgress;
 use pulleywood_scheduler::{Config, ShardState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -54,7 +54,7 @@
     jobs: BTreeSet<JobId>,
     machines: BTreeSet<MachineId>,
     rounds: MonotonicTime,
-    progress: Progress,
+    progress: RecoveryProgress,
     audit: Audit,
     audited: MonotonicTime,
     /// The recovery subsystem, if it is on.
@@ -79,7 +79,7 @@
             jobs: BTreeSet::new(),
             machines: BTreeSet::new(),
             rounds: MonotonicTime(0),
-            progress: Progress::default(),
+            progress: RecoveryProgress::default(),
             audit: Audit::default(),
             audited: MonotonicTime(0),
             recovery: None,
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/recovery.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/recovery.rs
@@ -4,8 +4,8 @@
 use crate::virtual_cluster::store::Store;
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, ShardId};
 use pulleywood_recovery::RecoveryPolicy;
-use pulleywood_recovery::audit::Holdings;
-use pulleywood_recovery::gate::gate;
+use pulleywood_recovery::audit::AuditedState;
+use pulleywood_recovery::fetch_gate::fetch_gate;
 use pulleywood_recovery::progress::Phase;
 use pulleywood_scheduler::Config;
 
@@ -27,44 +27,45 @@
             self.progress
                 .update(*shard, fencing_token, Phase::of(Some(&snapshot)), now);
             let since = self.progress.recovering_since(*shard);
-            held.state.fetch_gate = since.and_then(|since| gate(policy, &snapshot, since, now));
+            held.state.fetch_gate =
+                since.and_then(|since| fetch_gate(policy, &snapshot, since, now));
         }
-        if policy.slice() == 0 || now.since(self.audited) < policy.audit_every() {
+        if policy.audit_slice_size() == 0 || now.since(self.audited) < policy.audit_interval() {
             return;
         }
         self.audited = now;
         let mut audit = std::mem::take(&mut self.audit);
-        if let Some(next) = audit.next(self) {
-            let limit = policy.slice() as usize;
+        if let Some(next) = audit.next_slice(self) {
+            let limit = policy.audit_slice_size() as usize;
             let (items, more) = store.list(next.prefix, &next.after, limit);
             let revision = store.revision;
-            self.findings += audit.take(&items, more, revision, self).len();
+            self.findings += audit.compare_slice(&items, more, revision, self).len();
         }
         self.audit = audit;
     }
 }
 
-impl Holdings for Controller {
+impl AuditedState for Controller {
     fn revision(&self) -> u64 {
         self.revision
     }
     fn shard_count(&self) -> u32 {
         u32::MAX
     }
-    fn holds(&self, shard: ShardId) -> bool {
+    fn has_loaded(&self, shard: ShardId) -> bool {
         self.held.contains_key(&shard)
     }
-    fn knows_job(&self, job: &JobId) -> bool {
+    fn is_job_cached(&self, job: &JobId) -> bool {
         self.jobs.contains(job)
     }
-    fn has_job(&self, shard: ShardId, job: &JobId) -> bool {
+    fn shard_has_job(&self, shard: ShardId, job: &JobId) -> bool {
         let held = self.held.get(&shard);
         held.is_some_and(|h| h.state.jobs.contains_key(job))
     }
-    fn knows_machine(&self, machine: &MachineId) -> bool {
+    fn is_machine_cached(&self, machine: &MachineId) -> bool {
         self.machines.contains(machine)
     }
-    fn has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
+    fn shard_has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
         let held = self.held.get(&shard);
         held.is_some_and(|h| h.state.machines.contains_key(machine))
     }
