--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -64,7 +64,7 @@
         let controller = context.controller.lock();
         let batches = &controller.cached.job_batches;
         let (transaction, job_batches) =
-            batches.take_out(transaction, &BTreeSet::from([id.clone()]));
+            batches.remove_jobs(transaction, &BTreeSet::from([id.clone()]));
         let in_batch = batches.record(id).cloned();
         (controller.config.chunk, in_batch, transaction, job_batches)
     };
--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -18,8 +18,8 @@
         && controller.cached.layout.is_some()
         && !controller.config.flavors.is_empty();
     let mut digests = controller.digests.values();
-    let cut_off =
-        !store_answers && digests.any(|d| d.digest.state_ok && d.is_fresh(now, FRESH_DIGEST));
+    let cut_off = !store_answers
+        && digests.any(|d| d.digest.store_reachable && d.is_fresh(now, FRESH_DIGEST));
     if started && !cut_off {
         Response::status(200)
     } else {
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -3,7 +3,9 @@
 
 use crate::state::{ControllerContext, read};
 use pulleywood_protocol::job::JobAnswer;
-use pulleywood_protocol::record::{CLOSED, FinalRecord, before_final_key, closed_job, final_key};
+use pulleywood_protocol::record::{
+    FINAL_STATE_PREFIX, FinalRecord, final_key, job_of_final_key, list_start_before_final_key,
+};
 use pulleywood_protocol::{JobId, JobStatus};
 use pulleywood_transport::server::Response;
 use pulleywood_transport::{RequestPriority, StoreError};
@@ -50,14 +52,17 @@
         return Ok(Some(state));
     }
     let key = final_key(id);
-    let after = before_final_key(id);
-    let page = context
-        .store
-        .slice(RequestPriority::Question, CLOSED, &after, NEIGHBOURS)?;
+    let after = list_start_before_final_key(id);
+    let page = context.store.slice(
+        RequestPriority::Question,
+        FINAL_STATE_PREFIX,
+        &after,
+        NEIGHBOURS,
+    )?;
     let beyond = !page.more || page.items.last().is_some_and(|last| last.path >= key);
     let mut finals = context.finals.lock();
     for item in &page.items {
-        if let Some(job) = closed_job(&item.path)
+        if let Some(job) = job_of_final_key(&item.path)
             && let Some(state) = read(Some(&item.value), &item.path)
         {
             finals.put(&job, state);
@@ -93,7 +98,7 @@
 /// A response that shows a job's status and its tasks.
 fn respond_with(id: &JobId, status: JobStatus, done: u32, running: u32) -> Response {
     let answer = JobAnswer {
-        uid: id.clone(),
+        id: id.clone(),
         status,
         done,
         running,
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -204,7 +204,7 @@
     match outcome {
         SubmissionOutcome::Accepted => {
             let answer = JobAnswer {
-                uid: id,
+                id,
                 status: JobStatus::Queued,
                 done: 0,
                 running: 0,
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -8,7 +8,7 @@
 use crate::{coordinator, peers, recovery, session_lease, watch};
 use parking_lot::{Condvar, Mutex};
 use pulleywood_protocol::MemberId;
-use pulleywood_protocol::settings::{Bounds, Settings};
+use pulleywood_protocol::settings::{ConnectionLimits, Settings};
 use pulleywood_scheduler::Config;
 use pulleywood_transport::peer::PeerClient;
 use pulleywood_transport::server::{self, Limits};
@@ -121,7 +121,7 @@
     /// A socket cannot be opened, an address is none, or a thread cannot be started.
     pub fn start(settings: Settings, policy: OperatorPolicy) -> Result<Controller, StartError> {
         let context = Arc::new(context(settings, policy)?);
-        let bounds = Bounds::new(&context.settings);
+        let bounds = ConnectionLimits::new(&context.settings);
         warn_of_few_threads(&context, &bounds);
         serve_peers(&context, &bounds)?;
         let serve_on = serve_http(&context, &bounds)?;
@@ -212,23 +212,29 @@
         .collect()
 }
 
-fn warn_of_few_threads(context: &ControllerContext, bounds: &Bounds) {
-    if let Some(field) = Bounds::too_few(&context.settings, FEW_THREADS) {
+fn warn_of_few_threads(context: &ControllerContext, bounds: &ConnectionLimits) {
+    if let Some(field) = ConnectionLimits::limiting_setting(&context.settings, FEW_THREADS) {
         let n = bounds.threads;
         log::warn!("cluster.resources.{field} allows no more than {n} threads for connections");
     }
 }
 
-fn serve_peers(context: &Arc<ControllerContext>, bounds: &Bounds) -> Result<(), StartError> {
+fn serve_peers(
+    context: &Arc<ControllerContext>,
+    bounds: &ConnectionLimits,
+) -> Result<(), StartError> {
     let listen = address(&context.settings.cluster_listen)?;
     let own = Arc::clone(context);
     let answer = move |request| api::peers::answer(&own, request);
-    pulleywood_transport::peer::serve(listen, bounds.peers, answer)
+    pulleywood_transport::peer::serve(listen, bounds.peer_connections, answer)
         .map(|_| ())
         .map_err(io_error("cluster_listen"))
 }
 
-fn serve_http(context: &Arc<ControllerContext>, bounds: &Bounds) -> Result<SocketAddr, StartError> {
+fn serve_http(
+    context: &Arc<ControllerContext>,
+    bounds: &ConnectionLimits,
+) -> Result<SocketAddr, StartError> {
     let serve_on = address(&context.settings.serve_on)?;
     let limits = Limits {
         connections: bounds.connections,
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -123,7 +123,7 @@
 
 fn a_peer_refuses(controller: &ControllerState, now: MonotonicTime) -> bool {
     let mut digests = controller.digests.values();
-    digests.any(|d| d.digest.refusing && d.is_fresh(now, FRESH_DIGEST))
+    digests.any(|d| d.digest.refusing_submissions && d.is_fresh(now, FRESH_DIGEST))
 }
 
 #[cfg(test)]
--- a/crates/pulleywood-controller/src/coordinator/lease.rs
+++ b/crates/pulleywood-controller/src/coordinator/lease.rs
@@ -115,7 +115,7 @@
     };
     let transaction = Transaction::default()
         .when(COORDINATOR_LEASE, Revision(0))
-        .hold(COORDINATOR_LEASE, &holder, lease_id);
+        .write_with_lease(COORDINATOR_LEASE, &holder, lease_id);
     PreparedAcquire {
         holder,
         transaction: next_counter.replace(transaction, counter.revision),
--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -68,7 +68,7 @@
     for (team, wanted) in &digest.wanted {
         teams.entry(team.clone()).or_default().wanted = *wanted;
     }
-    for team in &digest.stuck {
+    for team in &digest.quota_blocked_teams {
         teams.entry(team.clone()).or_default().stuck = true;
     }
     teams
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -4,7 +4,7 @@
 use crate::state::ControllerContext;
 use crate::watch;
 use pulleywood_protocol::cloud::RentalRequest;
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::COORDINATOR_LEASE;
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{MachineId, MonotonicTime, Revision};
@@ -43,7 +43,7 @@
 
 /// Records of released machines, to be deleted in one transaction.
 struct PreparedDeletion {
-    machine_batches: Vec<MachineBatchAfter>,
+    machine_batches: Vec<MachineBatchUpdate>,
     transaction: Transaction,
 }
 
@@ -79,7 +79,7 @@
             flavor: kind.flavor.clone(),
             zone: kind.zone.clone(),
             spot: kind.spot,
-            how_many,
+            count: how_many,
         };
         if send(context, fleet, request, now) == RentalOutcome::NotRented {
             return;
@@ -126,12 +126,12 @@
     log::info!(
         "rented {} of {} {} in {} (spot: {})",
         machines.len(),
-        request.how_many,
+        request.count,
         request.flavor,
         request.zone,
         request.spot
     );
-    if (machines.len() as u32) < request.how_many {
+    if (machines.len() as u32) < request.count {
         fleet.history.refused(kind, now);
     } else {
         fleet.history.filled(kind);
@@ -214,7 +214,7 @@
     });
     let transaction = Transaction::default().when(COORDINATOR_LEASE, lease_revision);
     let limit = controller.config.machine_batch_bytes();
-    let (transaction, machine_batches) = batches.change(transaction, &records, limit);
+    let (transaction, machine_batches) = batches.update_records(transaction, &records, limit);
     PreparedDeletion {
         machine_batches,
         transaction,
--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -4,7 +4,7 @@
 
 use parking_lot::Mutex;
 use pulleywood_protocol::cloud::Rental;
-use pulleywood_protocol::record::{LIVE, MachineRecord, final_key, job_key};
+use pulleywood_protocol::record::{LIVE_PREFIX, MachineRecord, final_key, job_key};
 use pulleywood_protocol::settings::Settings;
 use pulleywood_protocol::time::secs;
 use pulleywood_protocol::{FencingToken, JobId, MachineId, MonotonicTime};
@@ -59,7 +59,7 @@
     let mut config = Config::new(settings, Policy::defaults(settings));
     let cloud = read_cloud(settings, &mut config);
     let (items, revision) =
-        retry(|| store.list(RequestPriority::Lease, LIVE)).map_err(unreadable)?;
+        retry(|| store.list(RequestPriority::Lease, LIVE_PREFIX)).map_err(unreadable)?;
     let mut stored = StoredState::from_items(&items, revision, config.chunk);
     config.shards = stored.shard_count;
     let heard = if ask_workers {
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -109,13 +109,13 @@
     };
     let next_previous = PreviousLeaseHolder {
         holder: holder.clone(),
-        settled: previous.value.is_none(),
+        reconciled: previous.value.is_none(),
     };
     let vacant = Transaction::default().when(shard_leader_key(shard), Revision(0));
     let mut transaction = next_counter
         .replace(vacant, counter.revision)
         .when(previous_leader_key(shard), previous.revision)
-        .hold(shard_leader_key(shard), &holder, lease_id)
+        .write_with_lease(shard_leader_key(shard), &holder, lease_id)
         .write(previous_leader_key(shard), &next_previous)
         // A cached state that was read in pages may know the shard as vacant and its
         // quota as it was before the last shrink.
@@ -229,7 +229,7 @@
             };
         };
         let this_controller = previous.holder.member == context.controller_id;
-        match (previous.settled, this_controller) {
+        match (previous.reconciled, this_controller) {
             (false, _) => PreviousLaunches {
                 until: now + self.config.previous_leader_span(),
                 leader: None,
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -3,7 +3,7 @@
 
 use super::launch_waits::LaunchWaits;
 use crate::state::{ControllerContext, ControllerState, LedShard, job_entry};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::{job_key, shard_leader_key};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{JobId, MonotonicTime, Revision, ShardId};
@@ -36,7 +36,7 @@
 /// The images of one shard's machines.
 struct PreparedImages {
     shard: ShardId,
-    machine_batches: Vec<MachineBatchAfter>,
+    machine_batches: Vec<MachineBatchUpdate>,
     transaction: Transaction,
 }
 
@@ -161,7 +161,7 @@
     }
     let transaction = Transaction::default().when(shard_leader_key(shard), led.revision);
     let limit = controller.config.machine_batch_bytes();
-    let (transaction, machine_batches) = batches.change(transaction, &records, limit);
+    let (transaction, machine_batches) = batches.update_records(transaction, &records, limit);
     (!machine_batches.is_empty()).then_some(PreparedImages {
         shard,
         machine_batches,
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -119,7 +119,7 @@
     ids.sort();
     let serves_none = |received: &ReceivedDigest| {
         let digest = &received.digest;
-        let fit = received.is_fresh(now, FRESH_DIGEST) && digest.fit;
+        let fit = received.is_fresh(now, FRESH_DIGEST) && digest.ready_to_lead;
         fit.then_some(digest.serving.is_empty())
     };
     ids.into_iter()
--- a/crates/pulleywood-controller/src/shard/reconciled.rs
+++ b/crates/pulleywood-controller/src/shard/reconciled.rs
@@ -50,7 +50,7 @@
         }
     };
     let reconciled = PreviousLeaseHolder {
-        settled: true,
+        reconciled: true,
         ..stored
     };
     let transaction = Transaction::default()
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -76,7 +76,7 @@
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         endpoint: heartbeat.endpoint.clone(),
-        retiring: false,
+        releasing: false,
         images: Vec::new(),
     };
     let unregistered = UnregisteredMachine {
@@ -257,7 +257,10 @@
 fn target_batch(controller: &ControllerState, room: usize) -> TargetBatch {
     let led_here = |m: &MachineRecord| controller.led_shards.contains_key(&m.shard);
     let most = controller.config.machines_per_batch();
-    let open = controller.cached.machine_batches.open(room, most, led_here);
+    let open = controller
+        .cached
+        .machine_batches
+        .find_with_room(room, most, led_here);
     let head = controller.cached.machine_batch_head;
     match open {
         Some((number, batch, revision)) => TargetBatch {
@@ -313,8 +316,8 @@
     registered: &mut BTreeSet<MachineId>,
     limit: usize,
 ) {
-    batch.fit(limit);
-    while batch.bytes() > limit
+    batch.trim_images(limit);
+    while batch.size_bytes() > limit
         && let Some(id) = registered.pop_last()
     {
         batch.machines.remove(&id);
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -4,7 +4,7 @@
 use super::RequestOutcome;
 use crate::fencing_token::newest_fencing_token;
 use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, read_machine_batch};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::{
     FencingTokenCounter, MachineRecord, machine_batch_key, shard_leader_key,
 };
@@ -46,7 +46,7 @@
     shard_revision: Revision,
     machines: Vec<MachineId>,
     /// The machine batches as they are then.
-    machine_batches: Vec<MachineBatchAfter>,
+    machine_batches: Vec<MachineBatchUpdate>,
     transaction: Transaction,
 }
 
@@ -151,7 +151,9 @@
     }
     let limit = config.machine_batch_bytes();
     let (transaction, machine_batches) =
-        cached.machine_batches.change(transaction, &records, limit);
+        cached
+            .machine_batches
+            .update_records(transaction, &records, limit);
     Some(PreparedRelease {
         shard: *shard,
         shard_revision: led.revision,
@@ -187,7 +189,7 @@
                 record.shard = to;
                 record.fencing_token = fencing_token;
             }
-            Destination::Cloud => record.retiring = true,
+            Destination::Cloud => record.releasing = true,
         }
         records.insert(id.clone(), Some(record));
     }
@@ -237,7 +239,7 @@
     if let Some(led) = controller.led_shards.get_mut(&shard)
         && let Some(machine) = led.state.machines.get_mut(id)
     {
-        machine.leaving = machine.record.retiring;
+        machine.leaving = machine.record.releasing;
         led.state.disturb();
     }
 }
@@ -285,7 +287,7 @@
     let Some(batch) = read_machine_batch(&item.value, &key) else {
         return FenceOutcome::Done;
     };
-    let still_here = |record: &MachineRecord| record.shard == shard && !record.retiring;
+    let still_here = |record: &MachineRecord| record.shard == shard && !record.releasing;
     if !batch.machines.get(id).is_some_and(still_here) {
         context.put_machine_batches(vec![(number, Some(batch))], item.revision);
         return FenceOutcome::Done;
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -107,7 +107,7 @@
     let mut job_batches = Vec::new();
     if job.in_batch {
         let leaving = BTreeSet::from([id.clone()]);
-        (transaction, job_batches) = cached.job_batches.take_out(transaction, &leaving);
+        (transaction, job_batches) = cached.job_batches.remove_jobs(transaction, &leaving);
         if job_batches.is_empty() {
             // It has left its job batch; the watch is about to show how.
             led.state.withdraw_offer(&id);
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -5,7 +5,7 @@
 use crate::batch_queue::Mailbox;
 use crate::clock::Clock;
 use parking_lot::{Condvar, Mutex};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::peer::Digest;
 use pulleywood_protocol::record::LeaseHolder;
 use pulleywood_protocol::settings::Settings;
@@ -87,7 +87,11 @@
     }
 
     /// Puts machine batches as a transaction of this controller wrote them.
-    pub fn put_machine_batches(&self, machine_batches: Vec<MachineBatchAfter>, revision: Revision) {
+    pub fn put_machine_batches(
+        &self,
+        machine_batches: Vec<MachineBatchUpdate>,
+        revision: Revision,
+    ) {
         let now = self.clock.now();
         let mut controller = self.controller.lock();
         controller.put_machine_batches(machine_batches, revision, now);
@@ -102,12 +106,12 @@
             member: self.controller_id.clone(),
             boot: self.boot,
             seq: self.digests_sent.fetch_add(1, Ordering::Relaxed) + 1,
-            state_ok,
-            fit: controller.is_cached
+            store_reachable: state_ok,
+            ready_to_lead: controller.is_cached
                 && controller.lease.lease_id.is_some()
                 && state_ok
                 && now >= controller.acquire_backoff.until,
-            refusing: self.refusing(now),
+            refusing_submissions: self.refusing(now),
             serving: controller.serving(now),
             shards: controller.shard_digests(now),
         }
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -3,7 +3,7 @@
 use super::{CachedState, LedShard, SessionLease};
 use pulleywood_protocol::peer::{Digest, ShardDigest};
 use pulleywood_protocol::record::JobRecord;
-use pulleywood_protocol::time::{secs, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, secs};
 use pulleywood_protocol::{
     FencingToken, JobId, JobSpec, MachineId, MemberId, MonotonicTime, Revision, ShardId,
 };
@@ -127,7 +127,7 @@
     /// less drift and margin, so that it lies before the store's.
     pub fn lease_end(&self) -> MonotonicTime {
         match self.lease.lease_id {
-            Some(_) => self.lease.renewed + surely_within(self.lease_ttl()),
+            Some(_) => self.lease.renewed + remote_duration_lower_bound(self.lease_ttl()),
             None => MonotonicTime::default(),
         }
     }
@@ -219,7 +219,7 @@
         let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
             spec,
-            at_ms,
+            accepted_at_ms: at_ms,
             shard,
             transferred: Vec::new(),
             done: String::new(),
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -249,8 +249,8 @@
         self.apply_job_batches(now);
         self.cached.store_revision = self.cached.store_revision.max(store_revision);
         let upto = self.cached.store_revision;
-        self.cached.job_batches.forget(upto);
-        self.cached.machine_batches.forget(upto);
+        self.cached.job_batches.forget_deleted(upto);
+        self.cached.machine_batches.forget_deleted(upto);
         self.own_writes.retain(|_, at| at.0 > upto);
     }
 
@@ -284,7 +284,7 @@
         let Some(changed) = self.cached.machine_batches.put(n, record, revision) else {
             return;
         };
-        for (id, record) in changed.held {
+        for (id, record) in changed.present {
             self.cached.unreadable_machines.remove(&id);
             self.put_machine(&id, record, revision, now);
         }
@@ -292,7 +292,7 @@
             let unreadable = machine_batch.unreadable.keys().cloned();
             self.cached.unreadable_machines.extend(unreadable);
         }
-        for id in changed.gone {
+        for id in changed.removed {
             self.cached.unreadable_machines.remove(&id);
             self.cached.machines.remove(&id);
             for led in self.led_shards.values_mut() {
--- a/crates/pulleywood-controller/src/state/own_writes.rs
+++ b/crates/pulleywood-controller/src/state/own_writes.rs
@@ -2,7 +2,7 @@
 
 use super::{ControllerState, Versioned};
 use pulleywood_protocol::job_batch::{BatchHead, JobBatchRecord};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::JobRecord;
 use pulleywood_protocol::{JobId, MonotonicTime, Revision};
 use std::sync::Arc;
@@ -75,7 +75,7 @@
     pub fn wrote_machine_batch(
         &mut self,
         head: BatchHead,
-        machine_batch: MachineBatchAfter,
+        machine_batch: MachineBatchUpdate,
         revision: Revision,
         now: MonotonicTime,
     ) {
@@ -88,7 +88,7 @@
     /// A transaction of this controller changed machine batches.
     pub fn put_machine_batches(
         &mut self,
-        machine_batches: Vec<MachineBatchAfter>,
+        machine_batches: Vec<MachineBatchUpdate>,
         revision: Revision,
         now: MonotonicTime,
     ) {
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -82,7 +82,7 @@
 pub fn read_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
     let batch = logged(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
-        let id = pulleywood_protocol::job_batch::job_id(record);
+        let id = pulleywood_protocol::job_batch::unreadable_job_id(record);
         let name = id.map_or("one".to_owned(), |id| id.to_string());
         log::error!("record {path}: job {name} cannot be read");
     }
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -44,9 +44,9 @@
         member: "c-1".into(),
         boot,
         seq,
-        state_ok: true,
-        fit: true,
-        refusing: false,
+        store_reachable: true,
+        ready_to_lead: true,
+        refusing_submissions: false,
         serving,
         shards: vec![],
     }
@@ -158,7 +158,7 @@
             zone: "a".into(),
             spot: false,
             endpoint: "10.0.0.1:1".into(),
-            retiring: false,
+            releasing: false,
             images: vec![],
         };
         let state = &mut controller.led_shards.get_mut(&ShardId(0)).unwrap().state;
@@ -194,7 +194,7 @@
     });
     JobRecord {
         spec: serde_json::from_value(spec).unwrap(),
-        at_ms: 0,
+        accepted_at_ms: 0,
         shard: ShardId(0),
         transferred: vec![],
         done: String::new(),
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -5,7 +5,7 @@
     CachedState, ControllerContext, ControllerState, read, read_job_batch, read_machine_batch,
 };
 use pulleywood_protocol::record::{
-    FinalRecord, JOB_BATCHES, LIVE, MACHINE_BATCHES, WATCHED, closed_job, job_key,
+    FinalRecord, JOB_BATCHES, LIVE_PREFIX, MACHINE_BATCHES, WATCH_PREFIX, job_key, job_of_final_key,
 };
 use pulleywood_protocol::store::{Event, Item};
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, Revision, ShardId};
@@ -49,7 +49,7 @@
         controller.cached.store_revision
     };
     let sent = context.clock.now();
-    let answer = context.store.watch(priority, WATCHED, from, wait)?;
+    let answer = context.store.watch(priority, WATCH_PREFIX, from, wait)?;
     remember_final_states(context, &answer.events);
     let now = context.clock.now();
     let mut controller = context.controller.lock();
@@ -78,7 +78,7 @@
     let mut finals = context.finals.lock();
     for event in events {
         if let Some(path) = &event.write
-            && let Some(id) = closed_job(path)
+            && let Some(id) = job_of_final_key(path)
             && let Some(state) = read::<FinalRecord>(event.value.as_ref(), path)
         {
             finals.put(&id, state);
@@ -111,7 +111,9 @@
 /// Reads all watched keys and replaces the cached state.
 fn reread(context: &Arc<ControllerContext>) -> Result<(), StoreError> {
     let sent = context.clock.now();
-    let (items, store_revision) = context.store.list(RequestPriority::ShardLeader, LIVE)?;
+    let (items, store_revision) = context
+        .store
+        .list(RequestPriority::ShardLeader, LIVE_PREFIX)?;
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let first = !controller.is_cached;
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -228,7 +228,7 @@
             incarnation: 1,
             seq: 1,
             fencing_token: FencingToken(fencing_token),
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: vec![],
         };
         let body = cbor::encode(&heartbeat);
--- a/crates/pulleywood-controller/tests/scale.rs
+++ b/crates/pulleywood-controller/tests/scale.rs
@@ -39,7 +39,7 @@
             incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: vec![],
         },
         clients: cluster.serve_on[..controllers]
--- a/crates/pulleywood-protocol/src/cbor.rs
+++ b/crates/pulleywood-protocol/src/cbor.rs
@@ -1,4 +1,4 @@
-//! CBOR encoding and strict decoding of message bodies.
+//! CBOR encoding and strict decoding of message bodies and stored values.
 
 use serde::{Deserialize, Deserializer, Serialize, de::DeserializeOwned};
 
@@ -7,18 +7,18 @@
 /// Why a body could not be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// Not well-formed CBOR, or not of the expected shape.
-    #[error("malformed body: {0}")]
+    /// The bytes are not well-formed CBOR, or not of the expected type.
+    #[error("malformed CBOR: {0}")]
     Malformed(String),
-    /// Bytes follow the first item.
-    #[error("{0} bytes follow the body")]
+    /// This many bytes follow the first item.
+    #[error("{0} trailing bytes after the CBOR item")]
     Trailing(usize),
 }
 
 /// Encodes a value as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut out = Vec::with_capacity(256);
-    // Writing to a Vec cannot fail, and every type here is plain data.
+    // Writing to a Vec cannot fail, and all types of this crate can be serialized.
     if ciborium::into_writer(value, &mut out).is_err() {
         out.clear();
     }
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// Bytes that are not one item of the expected shape.
+/// The bytes are not exactly one item of the expected type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, 32)
@@ -41,45 +41,45 @@
     }
 }
 
-/// Turns plain data into a store value.
+/// Converts data to a value of the state service.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-/// Reads plain data out of a store value.
+/// Converts a value of the state service to data.
 ///
 /// # Errors
 ///
-/// A value that is not of the expected shape.
+/// The value is not of the expected type.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Result<T, DecodeError> {
     value
         .deserialized()
         .map_err(|e| DecodeError::Malformed(e.to_string()))
 }
 
-/// A decimal amount that peers may also write as an integer.
+/// A decimal number. Other programs may also write it as an integer.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Default, Serialize)]
 #[serde(transparent)]
 pub struct Amount(pub f64);
 
 impl<'de> Deserialize<'de> for Amount {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct V;
-        impl serde::de::Visitor<'_> for V {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct AmountVisitor;
+        impl serde::de::Visitor<'_> for AmountVisitor {
             type Value = Amount;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
                 f.write_str("a number")
             }
-            fn visit_f64<E>(self, v: f64) -> Result<Amount, E> {
-                Ok(Amount(v))
+            fn visit_f64<E>(self, value: f64) -> Result<Amount, E> {
+                Ok(Amount(value))
             }
-            fn visit_u64<E>(self, v: u64) -> Result<Amount, E> {
-                Ok(Amount(v as f64))
+            fn visit_u64<E>(self, value: u64) -> Result<Amount, E> {
+                Ok(Amount(value as f64))
             }
-            fn visit_i64<E>(self, v: i64) -> Result<Amount, E> {
-                Ok(Amount(v as f64))
+            fn visit_i64<E>(self, value: i64) -> Result<Amount, E> {
+                Ok(Amount(value as f64))
             }
         }
-        d.deserialize_any(V)
+        deserializer.deserialize_any(AmountVisitor)
     }
 }
--- a/crates/pulleywood-protocol/src/cloud.rs
+++ b/crates/pulleywood-protocol/src/cloud.rs
@@ -1,52 +1,52 @@
-//! Messages to and from the cloud.
+//! Messages between controllers and the cloud.
 
 use crate::cbor::Amount;
 use crate::ids::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// One machine type.
+/// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Flavor {
-    /// Its name.
+    /// Name of the machine type.
     pub label: String,
-    /// Processors.
+    /// Number of processors.
     #[serde(rename = "vcpus")]
     pub cpus: Amount,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "cards")]
     pub gpus: Amount,
-    /// Memory.
+    /// Memory in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: Amount,
-    /// Room for images.
+    /// Size of the image cache, in GB.
     pub cache_gb: Amount,
-    /// Fetch rate.
+    /// Rate of image fetches, in GB per second.
     #[serde(rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: Amount,
-    /// Price an hour.
+    /// Price per hour.
     pub price: Amount,
-    /// Spot price an hour.
+    /// Price per hour of a spot machine.
     pub spot_price: Amount,
-    /// Usual time to boot.
+    /// Typical boot time, in seconds.
     #[serde(rename = "startup_s")]
     pub boot_s: Amount,
-    /// Zones that offer it.
+    /// Zones in which the type is available.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// Answer to `GET /flavors`.
+/// Response to `GET /flavors`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Flavors {
-    /// The machine types.
+    /// All machine types.
     #[serde(rename = "rigs")]
     pub flavors: Vec<Flavor>,
 }
 
-/// A rental request.
+/// A request to rent machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// Request name, never reused.
+    /// Name of the request, which is never reused.
     #[serde(rename = "hire")]
     pub name: String,
     /// Machine type.
@@ -55,43 +55,44 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether to rent spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// How many, at most 50.
-    pub how_many: u32,
+    /// Number of machines, at most 50.
+    #[serde(rename = "how_many")]
+    pub count: u32,
 }
 
-/// The machines rented, or to be released.
+/// Names of machines: the response to a rental request, and a request to release machines.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// Names of the machines.
     #[serde(rename = "horses")]
     pub machines: Vec<MachineId>,
 }
 
-/// Where the cloud says a machine stands.
+/// State of a machine according to the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RentalStatus {
-    /// Booting, or never coming up.
+    /// Booting. Some machines stay in this state and never come up.
     Starting,
-    /// Up, or dead for less than about half a minute.
+    /// Running, or failed less than about half a minute ago.
     Running,
-    /// Stopped by itself; listed until released.
+    /// Stopped by a failure or by the cloud; listed until it is released.
     Failed,
-    /// A status this version does not know.
+    /// A status that this release does not know.
     #[serde(other)]
     Other,
 }
 
-/// One listed machine.
+/// A machine in the machine list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "uid")]
     pub machine: MachineId,
-    /// Its worker's address.
+    /// Address of its worker; `None` while it is not known.
     #[serde(default)]
     pub endpoint: Option<String>,
     /// Machine type.
@@ -100,21 +101,21 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Where it stands.
+    /// State of the machine.
     pub status: RentalStatus,
-    /// Age since the rental request.
+    /// Seconds since the rental request.
     pub age_s: Amount,
 }
 
 /// A page of the machine list.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RentalPage {
-    /// Machines in name order.
+    /// Machines in the order of their names.
     #[serde(rename = "horses")]
     pub machines: Vec<Rental>,
-    /// More pages follow.
+    /// Whether further pages follow.
     pub more: bool,
 }
--- a/crates/pulleywood-protocol/src/ids.rs
+++ b/crates/pulleywood-protocol/src/ids.rs
@@ -1,9 +1,9 @@
-//! Small types for ids, versions and counters.
+//! Id types, revisions and fencing tokens.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
     };
 }
 
-macro_rules! text {
+macro_rules! text_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -29,40 +29,41 @@
             }
         }
         impl From<&str> for $name {
-            fn from(s: &str) -> Self {
-                Self(s.into())
+            fn from(text: &str) -> Self {
+                Self(text.into())
             }
         }
     };
 }
 
-number!(
-    /// A fencing token from the one shared counter: the right to command a worker.
+numeric_id!(
+    /// A fencing token, issued from one shared counter. A worker obeys commands only under the
+    /// highest fencing token that it has seen.
     FencingToken
 );
-number!(
-    /// The revision at which a key of the state service last changed; 0: absent.
+numeric_id!(
+    /// The revision at which a key of the state service last changed; 0 if it does not exist.
     Revision
 );
-number!(
-    /// A lease of the state service.
+numeric_id!(
+    /// Id of a lease of the state service.
     LeaseId
 );
-number!(
-    /// One try at running a task; never reused.
+numeric_id!(
+    /// Id of an attempt to run a task. It is never reused.
     Attempt
 );
 
-text!(
-    /// A machine's name.
+text_id!(
+    /// Name of a machine.
     MachineId
 );
-text!(
-    /// A controller's name.
+text_id!(
+    /// Name of a controller.
     MemberId
 );
 
-/// A shard of the machines and jobs; one controller leads it at a time.
+/// Id of a shard of the machines and jobs, which at most one controller leads at a time.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -75,26 +76,26 @@
     }
 }
 
-/// How many attempts one fencing token can name. A fencing token's counter stays below this.
+/// Maximum number of attempts that can be issued under one fencing token.
 const ATTEMPTS_PER_FENCING_TOKEN: u64 = 1 << 21;
 
 impl FencingToken {
-    /// The last fencing token that attempts can be named after. A worker that shows this
-    /// or a higher one is wrong: the counter never comes so far.
+    /// The last fencing token under which attempts can be issued. The counter never gets that
+    /// far, so a worker that reports this or a higher token is faulty.
     pub const LAST: FencingToken = FencingToken((1 << 32) - 1);
 
-    /// The one that is issued after this one.
+    /// The fencing token that is issued after this one.
     pub fn next(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
 }
 
 impl Attempt {
-    /// Packs a fencing token and that fencing token's counter into one integer below 2^53,
-    /// so that attempts are unique over leaders without a write.
+    /// Combines a fencing token and a counter of attempts under this token into one integer
+    /// below 2^53, so that attempts of different leaders are unique without a write.
     ///
-    /// Returns nothing when the fencing token has used up its attempts: the leader then
-    /// needs a new fencing token rather than a name that was used before.
+    /// Returns `None` if the attempts of the fencing token are used up: the leader then needs
+    /// a new fencing token, since ids must not be reused.
     pub fn from_parts(fencing_token: FencingToken, counter: u64) -> Option<Attempt> {
         (counter < ATTEMPTS_PER_FENCING_TOKEN && fencing_token <= FencingToken::LAST).then_some(
             Attempt(fencing_token.0 * ATTEMPTS_PER_FENCING_TOKEN + counter),
@@ -107,45 +108,47 @@
     }
 }
 
-/// A job's id, always `j-` and digits.
+/// Id of a job: `j-` and 1 to 40 digits.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct JobId(std::sync::Arc<str>);
 
 impl JobId {
-    /// Accepts well-formed ids only.
+    /// Parses an id; `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("j-")?;
-        let sound = (1..=40).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
-        sound.then(|| JobId(text.into()))
+        let is_valid =
+            (1..=40).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit());
+        is_valid.then(|| JobId(text.into()))
     }
 
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The shard that holds this job's record.
-    pub fn shard(&self, shards: u32) -> ShardId {
-        shard_of(&self.0, shards)
+    /// The shard in the key of the job's record, which need not be the shard that runs the job.
+    pub fn shard(&self, shard_count: u32) -> ShardId {
+        shard_of(&self.0, shard_count)
     }
 }
 
 impl MachineId {
-    /// The shard that takes this machine in, if its leader can.
-    pub fn shard(&self, shards: u32) -> ShardId {
-        shard_of(&self.0, shards)
+    /// The shard that registers this machine, unless its leader cannot.
+    pub fn shard(&self, shard_count: u32) -> ShardId {
+        shard_of(&self.0, shard_count)
     }
 }
 
-/// A fixed hash (FNV-1a), so that every controller and every release agrees.
-fn shard_of(text: &str, shards: u32) -> ShardId {
+/// Maps an id to a shard by FNV-1a. The hash never changes, so that all controllers and releases
+/// agree.
+fn shard_of(text: &str, shard_count: u32) -> ShardId {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in text.bytes() {
         hash ^= u64::from(byte);
         hash = hash.wrapping_mul(0x0100_0000_01b3);
     }
-    ShardId(((hash >> 16) % u64::from(shards.max(1))) as u32)
+    ShardId(((hash >> 16) % u64::from(shard_count.max(1))) as u32)
 }
 
 impl fmt::Display for JobId {
@@ -155,18 +158,20 @@
 }
 
 impl<'de> Deserialize<'de> for JobId {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(d)?;
-        JobId::parse(&text).ok_or_else(|| serde::de::Error::custom("malformed job id"))
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        JobId::parse(&text).ok_or_else(|| {
+            serde::de::Error::custom("malformed job id: expected `j-` and 1 to 40 digits")
+        })
     }
 }
 
-/// One task of a job, written `j-000412/3`.
+/// Id of a task, written as `j-000412/3`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// Index of the task within the job, from 0.
     pub index: u32,
 }
 
@@ -177,7 +182,7 @@
 }
 
 impl TaskId {
-    /// Parses `j-000412/3`.
+    /// Parses an id such as `j-000412/3`; `None` if the text is malformed.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         Some(TaskId {
@@ -188,14 +193,16 @@
 }
 
 impl Serialize for TaskId {
-    fn serialize<S: serde::Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_str(self)
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for TaskId {
-    fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(d)?;
-        TaskId::parse(&text).ok_or_else(|| serde::de::Error::custom("malformed task id"))
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        TaskId::parse(&text).ok_or_else(|| {
+            serde::de::Error::custom("malformed task id: expected a job id, `/` and an index")
+        })
     }
 }
--- a/crates/pulleywood-protocol/src/job.rs
+++ b/crates/pulleywood-protocol/src/job.rs
@@ -1,17 +1,17 @@
-//! Users' jobs: submissions and answers.
+//! Messages between users and controllers: submissions and job status.
 
 use crate::cbor::Amount;
 use crate::ids::JobId;
 use serde::{Deserialize, Serialize};
 
-/// What kind of job it is.
+/// Kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Shape {
     /// Independent tasks that each run to completion.
     Array,
-    /// Tasks that run to completion together. The protocol's text leaves it
-    /// out; see the project's open questions.
+    /// Tasks that run to completion together. The published protocol does not describe this
+    /// kind; see the open questions of the project.
     #[serde(rename = "ensemble")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -19,122 +19,122 @@
 }
 
 impl Shape {
-    /// Its tasks run to completion.
-    pub fn completes(self) -> bool {
+    /// Whether the tasks run to completion.
+    pub fn runs_to_completion(self) -> bool {
         self != Shape::Service
     }
 }
 
-/// A job's priority; later variants come first when room is short.
+/// Priority of a job. Later variants have precedence when resources are scarce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rank {
-    /// Yields to everything.
+    /// Lowest priority.
     Idle,
-    /// Ordinary work.
+    /// Default priority.
     Standard,
-    /// Before ordinary work.
+    /// Has precedence over `Standard`.
     Urgent,
-    /// Before everything.
+    /// Highest priority.
     Production,
 }
 
-/// A job as its user submits it.
+/// A job as submitted by its user.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id.
+    /// Id of the job, chosen by the user.
     #[serde(rename = "uid")]
     pub id: JobId,
-    /// Class of jobs.
+    /// Class of the job, which service-level objectives refer to.
     #[serde(rename = "lane")]
     pub class: String,
-    /// Team.
+    /// Team whose quota the job counts against.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array, gang or service.
+    /// Kind of the job.
     pub shape: Shape,
-    /// Priority.
+    /// Priority of the job.
     pub rank: Rank,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "legs")]
     pub tasks: u32,
-    /// Processors a task takes.
+    /// Processors per task.
     #[serde(rename = "vcpus")]
     pub cpus: Amount,
-    /// GPUs a task takes.
+    /// GPUs per task.
     #[serde(rename = "cards")]
     pub gpus: Amount,
-    /// Memory a task takes.
+    /// Memory per task, in GB.
     #[serde(rename = "mem_gb")]
     pub memory_gb: Amount,
-    /// Image a machine needs before the task starts.
+    /// Image that a machine has to fetch before it starts a task.
     #[serde(rename = "cargo")]
     pub image: String,
-    /// The image's size.
+    /// Size of the image, in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: Amount,
-    /// Allowed machine types; any if absent.
+    /// Allowed machine types; `None` allows any.
     #[serde(rename = "rigs", default)]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// The only allowed zone; `None` allows any.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether tasks may run on spot machines.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// The submitter's estimate of a task's run time.
+    /// The user's estimate of the run time of a task, in seconds.
     #[serde(rename = "haul_s")]
     pub estimate_s: Amount,
-    /// Progress between checkpoints; 0: never saves.
+    /// Interval between checkpoints, in seconds; 0 if tasks save no checkpoints.
     #[serde(rename = "waypoint_s")]
     pub checkpoint_s: Amount,
-    /// Time a stopped task needs to save.
+    /// Time that a stopped task needs to save its progress, in seconds.
     #[serde(rename = "stow_s")]
     pub save_s: Amount,
-    /// Deadline from submission.
+    /// Deadline, in seconds from the submission; `None` if there is none.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<Amount>,
 }
 
-/// The most tasks one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
 impl JobSpec {
-    /// Whether its tasks may run in this zone, and on spot machines if `spot`.
-    pub fn allows_place(&self, zone: &str, spot: bool) -> bool {
+    /// Whether tasks may run in this zone, on spot machines if `spot` is set.
+    pub fn allows_placement(&self, zone: &str, spot: bool) -> bool {
         (self.spot || !spot) && self.zone.as_ref().is_none_or(|z| z == zone)
     }
 
-    /// Names the first field that no valid submission holds.
+    /// Returns the wire name of the first field with an invalid value.
     pub fn invalid_field(&self) -> Option<&'static str> {
-        let bad = |a: Amount| !a.0.is_finite() || a.0 < 0.0;
-        let cases = [
+        let is_invalid = |amount: Amount| !amount.0.is_finite() || amount.0 < 0.0;
+        let checks = [
             ("legs", self.tasks == 0 || self.tasks > MAX_TASKS),
-            ("vcpus", bad(self.cpus)),
-            ("cards", bad(self.gpus)),
-            ("mem_gb", bad(self.memory_gb)),
-            ("size_gb", bad(self.image_gb)),
-            ("haul_s", bad(self.estimate_s)),
-            ("waypoint_s", bad(self.checkpoint_s)),
-            ("stow_s", bad(self.save_s)),
-            ("due_s", self.deadline_s.is_some_and(bad)),
+            ("vcpus", is_invalid(self.cpus)),
+            ("cards", is_invalid(self.gpus)),
+            ("mem_gb", is_invalid(self.memory_gb)),
+            ("size_gb", is_invalid(self.image_gb)),
+            ("haul_s", is_invalid(self.estimate_s)),
+            ("waypoint_s", is_invalid(self.checkpoint_s)),
+            ("stow_s", is_invalid(self.save_s)),
+            ("due_s", self.deadline_s.is_some_and(is_invalid)),
             ("lane", self.class.len() > 200),
             ("crew", self.team.len() > 200),
             ("cargo", self.image.len() > 400),
         ];
-        cases
+        checks
             .iter()
             .find(|(_, invalid)| *invalid)
             .map(|(name, _)| *name)
     }
 
-    /// How many tasks one zone may hold.
+    /// Maximum number of tasks in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -144,13 +144,13 @@
     }
 }
 
-/// A job's state as told to its user.
+/// State of a job as reported to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
@@ -159,17 +159,18 @@
     Cancelled,
 }
 
-/// The answer about a job.
+/// Response to a submission, a cancellation or a status request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobAnswer {
-    /// The job.
-    pub uid: JobId,
-    /// Its state.
+    /// Id of the job.
+    #[serde(rename = "uid")]
+    pub id: JobId,
+    /// State of the job.
     pub status: JobStatus,
-    /// Tasks done, for display.
+    /// Number of tasks done, for display.
     #[serde(default)]
     pub done: u32,
-    /// Tasks running, for display.
+    /// Number of running tasks, for display.
     #[serde(default)]
     pub running: u32,
 }
--- a/crates/pulleywood-protocol/src/job_batch.rs
+++ b/crates/pulleywood-protocol/src/job_batch.rs
@@ -1,11 +1,12 @@
-//! Job batches: records of several jobs that were accepted together.
+//! Job batches: records of several jobs that were accepted together and are stored in one
+//! value.
 //!
-//! In a burst there are more submissions than writes. One transaction then accepts as
-//! many jobs as one value holds. A job leaves its batch in the transaction that first
-//! writes anything about it, so it is live in one place only. A new batch compares the
-//! absence of each of its jobs' own records and final states, and both batches and
-//! single submissions compare the revision of the batches' head, so that none overlooks
-//! a batch that was just written.
+//! In a burst, submissions arrive faster than the store allows writes. One transaction then
+//! accepts as many jobs as fit into one value. A job leaves its batch in the transaction that
+//! first writes anything about it, so it is live in one place only. The transaction that
+//! writes a new batch requires that none of its jobs has its own record or a final state.
+//! Transactions of batches and of single submissions also compare the revision of the batches'
+//! head, so that none of them overlooks a batch that was just written.
 
 use crate::cbor::{self, DecodeError, Value};
 use crate::ids::{JobId, Revision};
@@ -15,20 +16,20 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The head of the job batches; written with each new one.
+/// The head record of the job batches or of the machine batches, written with each new batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct BatchHead {
-    /// Number of the newest job batch.
+    /// Number of the newest batch.
     pub last: u64,
 }
 
-/// Jobs that were accepted together and are still as they were then.
+/// Jobs that were accepted together and have not changed since.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 pub struct JobBatchRecord {
-    /// Their records.
+    /// Records of the jobs.
     pub jobs: Vec<JobRecord>,
-    /// Records that this release cannot read. They stay as they are whenever the
-    /// job batch is written, and none of their jobs is forgotten for it.
+    /// Records that this release cannot decode. They are kept unchanged whenever the job batch
+    /// is written, so that none of their jobs is lost.
     #[serde(skip)]
     pub unreadable: Vec<Value>,
 }
@@ -48,21 +49,20 @@
 }
 
 impl JobBatchRecord {
-    /// Reads a stored job batch. What cannot be read of it is kept apart, job by job;
-    /// an error means that it is no job batch at all.
+    /// Decodes a stored job batch. Records that cannot be decoded are kept in `unreadable`.
     ///
     /// # Errors
     ///
-    /// The value is no job batch at all.
+    /// The value is not a job batch.
     pub fn from_value(value: &Value) -> Result<JobBatchRecord, DecodeError> {
         #[derive(Deserialize)]
-        struct Raw {
+        struct RawBatch {
             jobs: Vec<Value>,
         }
         if let Ok(job_batch) = cbor::from_value(value) {
             return Ok(job_batch);
         }
-        let raw: Raw = cbor::from_value(value)?;
+        let raw: RawBatch = cbor::from_value(value)?;
         let mut job_batch = JobBatchRecord::default();
         for value in raw.jobs {
             match cbor::from_value(&value) {
@@ -73,19 +73,19 @@
         Ok(job_batch)
     }
 
-    /// The jobs whose records cannot be read, where at least their ids can.
+    /// Ids of the jobs whose records cannot be decoded, as far as the ids can.
     pub fn unreadable_ids(&self) -> impl Iterator<Item = JobId> + '_ {
-        self.unreadable.iter().filter_map(job_id)
+        self.unreadable.iter().filter_map(unreadable_job_id)
     }
 
-    /// Nothing is left in it.
+    /// Whether the batch has no records, unreadable ones included.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.unreadable.is_empty()
     }
 }
 
-/// The id in a job's record that cannot be read as a whole.
-pub fn job_id(record: &Value) -> Option<JobId> {
+/// The job id in a record that cannot be decoded as a whole; `None` if it has none.
+pub fn unreadable_job_id(record: &Value) -> Option<JobId> {
     let spec = field(record, "spec")?;
     JobId::parse(field(spec, "uid")?.as_text()?)
 }
@@ -96,73 +96,76 @@
     found.next().map(|(_, value)| value)
 }
 
-/// All job batches as stored.
+/// Cached copy of all stored job batches.
 #[derive(Debug, Clone, Default)]
 pub struct JobBatches {
     job_batches: BTreeMap<u64, (JobBatchRecord, Revision)>,
-    at: BTreeMap<JobId, u64>,
+    batch_of_job: BTreeMap<JobId, u64>,
 }
 
 impl JobBatches {
-    /// A job batch was written, or deleted if there is no record: which jobs are
-    /// new in it, and which have left it.
+    /// Applies a write of a job batch, or its deletion if `record` is `None`. Changes older than
+    /// the known revision are ignored. Returns the records that are new in the batch, and the
+    /// ids of the jobs that have left it.
     pub fn put(
         &mut self,
-        n: u64,
+        number: u64,
         record: Option<JobBatchRecord>,
         revision: Revision,
     ) -> (Vec<JobRecord>, Vec<JobId>) {
-        let before: BTreeSet<JobId> = match self.job_batches.get(&n) {
+        let before: BTreeSet<JobId> = match self.job_batches.get(&number) {
             Some((_, known)) if *known > revision => return Default::default(),
             Some((job_batch, _)) => job_batch.jobs.iter().map(|j| j.spec.id.clone()).collect(),
             None => BTreeSet::new(),
         };
         let jobs = record.as_ref().map_or(&[][..], |r| &r.jobs);
-        let now: BTreeSet<JobId> = jobs.iter().map(|j| j.spec.id.clone()).collect();
+        let current: BTreeSet<JobId> = jobs.iter().map(|j| j.spec.id.clone()).collect();
         let new = jobs.iter().filter(|j| !before.contains(&j.spec.id));
         let new: Vec<JobRecord> = new.cloned().collect();
-        let left: Vec<JobId> = before.difference(&now).cloned().collect();
+        let left: Vec<JobId> = before.difference(&current).cloned().collect();
         for id in &left {
-            self.at.remove(id);
+            self.batch_of_job.remove(id);
         }
-        for id in now {
-            self.at.insert(id, n);
+        for id in current {
+            self.batch_of_job.insert(id, number);
         }
-        // An end is remembered too, until older changes can no longer come.
+        // A deletion is remembered too, until older changes can no longer arrive.
         self.job_batches
-            .insert(n, (record.unwrap_or_default(), revision));
+            .insert(number, (record.unwrap_or_default(), revision));
         (new, left)
     }
 
-    /// All changes up to a revision have been taken: job batches that ended by then
-    /// need not be remembered.
-    pub fn forget(&mut self, up_to: u64) {
+    /// Forgets job batches that were deleted at revision `up_to` or before. To be called when
+    /// all changes up to this revision have been applied.
+    pub fn forget_deleted(&mut self, up_to: u64) {
         self.job_batches
             .retain(|_, (job_batch, revision)| !job_batch.is_empty() || revision.0 > up_to);
     }
 
-    /// The job batch that holds a job.
+    /// Number of the job batch that contains a job; `None` if no batch does.
     pub fn find(&self, id: &JobId) -> Option<u64> {
-        self.at.get(id).copied()
+        self.batch_of_job.get(id).copied()
     }
 
-    /// A job's record as accepted.
+    /// The record of a job that is in a batch; `None` if no batch contains it.
     pub fn record(&self, id: &JobId) -> Option<&JobRecord> {
-        let (job_batch, _) = self.job_batches.get(self.at.get(id)?)?;
+        let (job_batch, _) = self.job_batches.get(self.batch_of_job.get(id)?)?;
         job_batch.jobs.iter().find(|j| &j.spec.id == id)
     }
 
-    /// Adds to a transaction that these jobs leave their job batches. What the job batches
-    /// are then is returned, to be put once it is applied.
-    pub fn take_out(
+    /// Adds to a transaction that these jobs leave their job batches.
+    ///
+    /// Returns the transaction, and the number and new record of each changed batch (`None` if
+    /// it is deleted), which are to be passed to [`JobBatches::put`] once it is applied.
+    pub fn remove_jobs(
         &self,
         mut transaction: Transaction,
         ids: &BTreeSet<JobId>,
     ) -> (Transaction, Vec<(u64, Option<JobBatchRecord>)>) {
-        let touched: BTreeSet<u64> = ids.iter().filter_map(|id| self.find(id)).collect();
-        let mut left = Vec::new();
-        for n in touched {
-            let Some((job_batch, revision)) = self.job_batches.get(&n) else {
+        let numbers: BTreeSet<u64> = ids.iter().filter_map(|id| self.find(id)).collect();
+        let mut updates = Vec::new();
+        for number in numbers {
+            let Some((job_batch, revision)) = self.job_batches.get(&number) else {
                 continue;
             };
             let remaining = job_batch.jobs.iter().filter(|j| !ids.contains(&j.spec.id));
@@ -170,16 +173,16 @@
                 jobs: remaining.cloned().collect(),
                 unreadable: job_batch.unreadable.clone(),
             };
-            let key = job_batch_key(n);
+            let key = job_batch_key(number);
             transaction = transaction.when(key.clone(), *revision);
             if remaining.is_empty() {
                 transaction = transaction.delete(key);
-                left.push((n, None));
+                updates.push((number, None));
             } else {
                 transaction = transaction.write(key, &remaining);
-                left.push((n, Some(remaining)));
+                updates.push((number, Some(remaining)));
             }
         }
-        (transaction, left)
+        (transaction, updates)
     }
 }
--- a/crates/pulleywood-protocol/src/lib.rs
+++ b/crates/pulleywood-protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire formats of pulleywood: small id types, the bodies of every HTTP
-//! interface, the messages between controllers and the stored records.
+//! Wire formats of pulleywood: id types, the bodies of all HTTP interfaces, the messages
+//! between controllers, the stored records and the settings.
 //!
-//! Nothing here does I/O. Field names on the wire follow the published
-//! protocol; inside, the field's standard terms are used.
+//! The crate does no I/O. Names on the wire follow the published protocol, by serde renames;
+//! the code uses the standard terms of the field.
 
 pub mod cbor;
 pub mod cloud;
--- a/crates/pulleywood-protocol/src/machine_batch.rs
+++ b/crates/pulleywood-protocol/src/machine_batch.rs
@@ -1,11 +1,11 @@
-//! Machine batches: records of machines, several to a value.
+//! Machine batches: records of several machines that are stored in one value.
 //!
-//! Machines come up by the hundred, and one write each would leave the last of them idle
-//! until the store has taken that many. Machines that are heard at about the same time
-//! are registered in one transaction, and their records stay together in one value, so
-//! that a later change of all of them (images, an end) is one write too. Each
-//! registration compares the revision of the machine batches' head, so whoever registers
-//! has seen all batches and no machine is in two.
+//! Machines start by the hundred. With one write for each, the last of them would stay idle
+//! until the store has accepted all these writes. Machines that send their first heartbeats at
+//! about the same time are therefore registered in one transaction. Their records stay in one
+//! value, so that a later change of all of them (images, release) is one write too. Each
+//! registration compares the revision of the machine batches' head, so that it is based on all
+//! batches and no machine gets into two.
 
 use crate::cbor::{self, DecodeError, Value};
 use crate::ids::{MachineId, Revision};
@@ -15,12 +15,12 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Records of machines that are kept in one value.
+/// Records of machines that are stored in one value.
 #[derive(Debug, Clone, PartialEq, Default, Deserialize)]
 pub struct MachineBatchRecord {
-    /// By machine.
+    /// Records by machine.
     pub machines: BTreeMap<MachineId, MachineRecord>,
-    /// Records that this release cannot read. They are written back unchanged.
+    /// Records that this release cannot decode. They are written back unchanged.
     #[serde(skip)]
     pub unreadable: BTreeMap<MachineId, Value>,
 }
@@ -42,20 +42,20 @@
 }
 
 impl MachineBatchRecord {
-    /// Reads a stored batch. Records that cannot be read are kept apart.
+    /// Decodes a stored machine batch. Records that cannot be decoded are kept in `unreadable`.
     ///
     /// # Errors
     ///
-    /// The value is no machine batch at all.
+    /// The value is not a machine batch.
     pub fn from_value(value: &Value) -> Result<MachineBatchRecord, DecodeError> {
         #[derive(Deserialize)]
-        struct Raw {
+        struct RawBatch {
             machines: BTreeMap<MachineId, Value>,
         }
         if let Ok(machine_batch) = cbor::from_value(value) {
             return Ok(machine_batch);
         }
-        let raw: Raw = cbor::from_value(value)?;
+        let raw: RawBatch = cbor::from_value(value)?;
         let mut machine_batch = MachineBatchRecord::default();
         for (id, value) in raw.machines {
             match cbor::from_value(&value) {
@@ -66,22 +66,22 @@
         Ok(machine_batch)
     }
 
-    /// Nothing is left in it.
+    /// Whether the batch has no records, unreadable ones included.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty() && self.unreadable.is_empty()
     }
 
-    /// Its size in bytes, as the store counts it.
-    pub fn bytes(&self) -> usize {
+    /// Size of the batch in bytes, as the store counts it.
+    pub fn size_bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(usize::MAX, |json| json.len())
     }
 
-    /// Forgets images, the least recently used first, until it takes at most `limit`
-    /// bytes or none is left.
-    pub fn fit(&mut self, limit: usize) {
-        while self.bytes() > limit {
-            let most = self.machines.values_mut().max_by_key(|m| m.images.len());
-            match most {
+    /// Removes images, the least recently used first, from the machines with the most images,
+    /// until the batch takes at most `max_bytes` or has no images left.
+    pub fn trim_images(&mut self, max_bytes: usize) {
+        while self.size_bytes() > max_bytes {
+            let machine = self.machines.values_mut().max_by_key(|m| m.images.len());
+            match machine {
                 Some(machine) if !machine.images.is_empty() => drop(machine.images.remove(0)),
                 _ => return,
             }
@@ -89,105 +89,108 @@
     }
 }
 
-/// A batch's number, and the batch as a transaction leaves it. None: it is deleted.
-pub type MachineBatchAfter = (u64, Option<MachineBatchRecord>);
+/// Number of a machine batch and its record after a transaction; `None` if the batch is deleted.
+pub type MachineBatchUpdate = (u64, Option<MachineBatchRecord>);
 
-/// How a batch's machines have changed.
+/// Machines of a batch after a change.
 #[derive(Debug, Default, PartialEq)]
 pub struct BatchChange {
-    /// Those it holds.
-    pub held: Vec<(MachineId, MachineRecord)>,
-    /// Those that have left it.
-    pub gone: Vec<MachineId>,
+    /// Machines in the batch, with their records.
+    pub present: Vec<(MachineId, MachineRecord)>,
+    /// Machines that were in the batch before the change and no longer are.
+    pub removed: Vec<MachineId>,
 }
 
-/// All machine batches as stored.
+/// Cached copy of all stored machine batches.
 #[derive(Debug, Clone, Default)]
 pub struct MachineBatches {
     machine_batches: BTreeMap<u64, (MachineBatchRecord, Revision)>,
-    at: BTreeMap<MachineId, u64>,
+    batch_of_machine: BTreeMap<MachineId, u64>,
 }
 
 impl MachineBatches {
-    /// A machine batch was written, or deleted if there is no record. Nothing is changed
-    /// by what is older than what is known.
+    /// Applies a write of a machine batch, or its deletion if `record` is `None`. Returns `None`
+    /// without any effect unless the change is newer than the known revision.
     pub fn put(
         &mut self,
-        n: u64,
+        number: u64,
         record: Option<MachineBatchRecord>,
         revision: Revision,
     ) -> Option<BatchChange> {
-        let before = match self.machine_batches.get(&n) {
+        let before = match self.machine_batches.get(&number) {
             Some((_, known)) if *known >= revision => return None,
             Some((machine_batch, _)) => machine_batch.machines.keys().cloned().collect(),
             None => BTreeSet::new(),
         };
         let record = record.unwrap_or_default();
-        let gone: Vec<MachineId> = before
+        let removed: Vec<MachineId> = before
             .into_iter()
             .filter(|id| !record.machines.contains_key(id))
             .collect();
-        for id in &gone {
-            self.at.remove(id);
+        for id in &removed {
+            self.batch_of_machine.remove(id);
         }
         for id in record.machines.keys() {
-            self.at.insert(id.clone(), n);
+            self.batch_of_machine.insert(id.clone(), number);
         }
-        let held = record.machines.iter();
-        let held = held.map(|(id, r)| (id.clone(), r.clone())).collect();
-        // An end is remembered too, until older changes can no longer come.
-        self.machine_batches.insert(n, (record, revision));
-        Some(BatchChange { held, gone })
+        let present = record.machines.iter();
+        let present = present.map(|(id, r)| (id.clone(), r.clone())).collect();
+        // A deletion is remembered too, until older changes can no longer arrive.
+        self.machine_batches.insert(number, (record, revision));
+        Some(BatchChange { present, removed })
     }
 
-    /// All changes up to a revision have been taken: machine batches that ended by then
-    /// need not be remembered.
-    pub fn forget(&mut self, up_to: u64) {
+    /// Forgets machine batches that were deleted at revision `up_to` or before. To be called
+    /// when all changes up to this revision have been applied.
+    pub fn forget_deleted(&mut self, up_to: u64) {
         self.machine_batches
             .retain(|_, (machine_batch, revision)| !machine_batch.is_empty() || revision.0 > up_to);
     }
 
-    /// The machine batch that holds a machine.
+    /// Number of the machine batch that contains a machine; `None` if no batch does.
     pub fn find(&self, id: &MachineId) -> Option<u64> {
-        self.at.get(id).copied()
+        self.batch_of_machine.get(id).copied()
     }
 
-    /// A machine batch as known.
-    pub fn get(&self, n: u64) -> Option<&(MachineBatchRecord, Revision)> {
-        self.machine_batches.get(&n)
+    /// The machine batch with this number and its revision. A deleted batch is empty.
+    pub fn get(&self, number: u64) -> Option<&(MachineBatchRecord, Revision)> {
+        self.machine_batches.get(&number)
     }
 
-    /// The fullest machine batch that `room` more machines bring to `most` at the most,
-    /// among those that hold only such machines.
-    pub fn open(
+    /// The machine batch with the most machines to which `added` machines can be added without
+    /// exceeding `max_machines`, among those all of whose machines `accepts` accepts.
+    pub fn find_with_room(
         &self,
-        room: usize,
-        most: usize,
+        added: usize,
+        max_machines: usize,
         accepts: impl Fn(&MachineRecord) -> bool,
     ) -> Option<(u64, &MachineBatchRecord, Revision)> {
         let machine_batches = self
             .machine_batches
             .iter()
-            .map(|(n, (machine_batch, at))| (*n, machine_batch, *at));
+            .map(|(number, (machine_batch, revision))| (*number, machine_batch, *revision));
         machine_batches
             .filter(|(_, machine_batch, _)| !machine_batch.machines.is_empty())
-            .filter(|(_, machine_batch, _)| machine_batch.machines.len() + room <= most)
+            .filter(|(_, machine_batch, _)| machine_batch.machines.len() + added <= max_machines)
             .filter(|(_, machine_batch, _)| machine_batch.machines.values().all(&accepts))
             .max_by_key(|(_, machine_batch, _)| machine_batch.machines.len())
     }
 
-    /// Adds to a transaction that machines' records change, or end. What their
-    /// machine batches are then is returned, to be put once it is applied.
-    pub fn change(
+    /// Adds to a transaction that records of machines are replaced, or deleted where the edit is
+    /// `None`. Images are removed so that each batch takes at most `max_bytes`.
+    ///
+    /// Returns the transaction and the changed batches, which are to be passed to
+    /// [`MachineBatches::put`] once it is applied.
+    pub fn update_records(
         &self,
         mut transaction: Transaction,
         edits: &BTreeMap<MachineId, Option<MachineRecord>>,
-        limit: usize,
-    ) -> (Transaction, Vec<MachineBatchAfter>) {
-        let touched: BTreeSet<u64> = edits.keys().filter_map(|id| self.find(id)).collect();
-        let mut after = Vec::new();
-        for n in touched {
-            let Some((machine_batch, revision)) = self.machine_batches.get(&n) else {
+        max_bytes: usize,
+    ) -> (Transaction, Vec<MachineBatchUpdate>) {
+        let numbers: BTreeSet<u64> = edits.keys().filter_map(|id| self.find(id)).collect();
+        let mut updates = Vec::new();
+        for number in numbers {
+            let Some((machine_batch, revision)) = self.machine_batches.get(&number) else {
                 continue;
             };
             let mut next = machine_batch.clone();
@@ -198,20 +201,20 @@
                     record.clone_from(new);
                 }
             }
-            next.fit(limit);
+            next.trim_images(max_bytes);
             if next == *machine_batch {
                 continue;
             }
-            let key = machine_batch_key(n);
+            let key = machine_batch_key(number);
             transaction = transaction.when(key.clone(), *revision);
             if next.is_empty() {
                 transaction = transaction.delete(key);
-                after.push((n, None));
+                updates.push((number, None));
             } else {
                 transaction = transaction.write(key, &next);
-                after.push((n, Some(next)));
+                updates.push((number, Some(next)));
             }
         }
-        (transaction, after)
+        (transaction, updates)
     }
 }
--- a/crates/pulleywood-protocol/src/peer.rs
+++ b/crates/pulleywood-protocol/src/peer.rs
@@ -1,4 +1,6 @@
-//! Messages between controllers (MessagePack).
+//! Messages between controllers, encoded as MessagePack.
+//!
+//! Structs are encoded as arrays, so the order of fields is part of the format.
 
 use crate::ids::{FencingToken, JobId, MachineId, MemberId, ShardId};
 use crate::job::JobSpec;
@@ -10,126 +12,134 @@
 /// A request to another controller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// What this controller knows and needs.
+    /// Reports the state and the needs of the sender.
     Digest(Box<Digest>),
-    /// Give idle machines to another shard.
+    /// Moves idle machines to the given shard.
     #[serde(rename = "Move")]
     MoveMachines(Vec<MachineId>, ShardId),
-    /// Launch nothing more on these machines for now, so that they fall idle.
+    /// Stops launching on these machines for a while, so that they become idle.
     #[serde(rename = "Drain")]
     DrainMachines(Vec<MachineId>),
-    /// Give idle machines back to the cloud.
+    /// Releases idle machines to the cloud.
     #[serde(rename = "Retire")]
     ReleaseMachines(Vec<MachineId>),
-    /// Transfer up to this many waiting tasks of one shape to another shard.
+    /// Transfers waiting tasks that match a demand from the first shard to the second, at most
+    /// as many as its `count`.
     #[serde(rename = "Lend")]
     TransferTasks(ShardId, ShardId, Box<Demand>),
-    /// Give up unused slots of these teams down to what is stated.
+    /// Reduces the shard's quotas of these teams to the given slots, as far as they are unused.
     #[serde(rename = "Shrink")]
     ShrinkQuota(ShardId, BTreeMap<String, Slots>),
-    /// Jobs that their users are cancelling: launch nothing of them for a while.
+    /// Announces jobs that are being cancelled, so that none of their tasks is launched for a
+    /// while.
     #[serde(rename = "Cancelling")]
     NoteCancellations(Vec<JobId>),
-    /// Give some of the tokens for writes to the state service.
+    /// Asks for some of the receiver's tokens for writes to the state service.
     #[serde(rename = "Tokens")]
     BorrowWriteTokens,
 }
 
-/// An answer.
+/// The response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// Taken.
+    /// The request was accepted.
     #[serde(rename = "Ok")]
     Accepted,
-    /// Not possible now.
+    /// The request cannot be fulfilled now.
     #[serde(rename = "No")]
     Refused,
-    /// This many tokens are the asker's now.
+    /// Number of write tokens handed over to the requester.
     #[serde(rename = "Tokens")]
     WriteTokens(u32),
-    /// A digest was taken; shards that the answerer still answers workers for.
-    /// Unlike a digest, which the network may have held back, this is surely
-    /// newer than the question.
+    /// Response to a digest: the shards whose workers the responder still answers, with their
+    /// fencing tokens. Unlike a digest, which the network may have delayed, it is certain to
+    /// be newer than the request.
     Serving(Vec<(ShardId, FencingToken)>),
 }
 
-/// What one controller tells the others about once a second.
+/// The state of one controller, which it sends to the others about once a second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Who.
+    /// Name of the controller.
     pub member: MemberId,
-    /// Which process.
+    /// Random number that identifies the process of the controller.
     pub boot: u64,
-    /// Rises with every digest of that process: an older one may come late.
+    /// Sequence number within the process. A digest may arrive after a later one.
     pub seq: u64,
-    /// The state service answered lately.
-    pub state_ok: bool,
-    /// Ready to take over shards.
-    pub fit: bool,
-    /// Users were refused lately for want of tokens: there is more work than
-    /// shards can show.
-    pub refusing: bool,
-    /// Shards it still answers workers for, with their fencing tokens.
+    /// Whether the state service has answered recently.
+    #[serde(rename = "state_ok")]
+    pub store_reachable: bool,
+    /// Whether the controller is ready to take over shards.
+    #[serde(rename = "fit")]
+    pub ready_to_lead: bool,
+    /// Whether submissions were recently refused for lack of tokens, so that there is more work
+    /// than the shards' demand shows.
+    #[serde(rename = "refusing")]
+    pub refusing_submissions: bool,
+    /// Shards whose workers the controller still answers, with their fencing tokens.
     pub serving: Vec<(ShardId, FencingToken)>,
-    /// What its shards hold and need.
+    /// State of the shards that the controller leads.
     pub shards: Vec<Arc<ShardDigest>>,
 }
 
-/// What one shard holds and needs.
+/// Resources and demand of one shard.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ShardDigest {
-    /// The shard.
+    /// Id of the shard.
     pub shard: ShardId,
-    /// Its leader still rebuilds.
+    /// Whether the leader is still rebuilding the state of the shard.
     pub rebuilding: bool,
-    /// Waiting tasks by shape.
+    /// Waiting tasks, grouped by shape.
     pub demand: Vec<Demand>,
-    /// Tasks, waiting or not, on machines of types that other work alone can use.
-    #[serde(default)]
-    pub displaced: Vec<Demand>,
-    /// Room that the next service job may need: the largest of each class.
+    /// Tasks, waiting or running, on machines of types that they should leave to work with fewer
+    /// allowed types.
+    #[serde(rename = "displaced", default)]
+    pub displaced_demand: Vec<Demand>,
+    /// Room to keep free for the next service job: the largest one of each class.
     pub reserve: Vec<Demand>,
-    /// Its machines.
+    /// Machines of the shard.
     pub machines: Vec<MachineDigest>,
-    /// Slots in use by team, unknown ones counted.
+    /// Slots in use by each team, including tasks whose state is unknown.
     pub used: BTreeMap<String, Slots>,
-    /// Slots that waiting tasks of limited teams would take.
+    /// Slots that the waiting tasks of each limited team would take.
     pub wanted: BTreeMap<String, Slots>,
-    /// Limited teams none of whose waiting tasks fits into what is left of the
-    /// shard's quota.
-    #[serde(default)]
-    pub stuck: BTreeSet<String>,
-    /// Running tasks by job, for display.
+    /// Limited teams of which no waiting task fits into the unused part of the shard's quota.
+    #[serde(rename = "stuck", default)]
+    pub quota_blocked_teams: BTreeSet<String>,
+    /// Number of running tasks of each job, for display.
     pub running: Vec<(JobId, u32)>,
 }
 
-/// Waiting tasks of one shape.
+/// Tasks of one shape.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Processors a task.
+    /// Processors per task.
     pub cpus: f64,
-    /// GPUs a task.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory a task.
+    /// Memory per task, in GB.
     pub memory_gb: f64,
-    /// Allowed types.
+    /// Allowed machine types; `None` allows any.
     pub types: Option<Vec<String>>,
-    /// Allowed zones, empty: any.
+    /// Allowed zones; empty allows any.
     pub zones: Vec<String>,
-    /// May use spot.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// Priority.
+    /// Priority of the tasks.
     pub rank: crate::job::Rank,
-    /// Seconds of work left a task, as far as known; 0: no end.
-    pub work_s: f64,
-    /// How many.
+    /// Estimated seconds of work left per task; 0 if the tasks run without end.
+    #[serde(rename = "work_s")]
+    pub remaining_work_s: f64,
+    /// Number of tasks.
     pub count: u32,
-    /// Each task may run in any shard.
-    pub free: bool,
+    /// Whether each task may run in any shard.
+    #[serde(rename = "free")]
+    pub any_shard: bool,
 }
 
 impl Demand {
-    /// Whether a job's tasks are of this shape.
+    /// Whether the tasks of a job have this shape: the same resources, machine types, use of
+    /// spot machines and rank.
     pub fn matches(&self, spec: &JobSpec) -> bool {
         (self.cpus, self.gpus, self.memory_gb) == (spec.cpus.0, spec.gpus.0, spec.memory_gb.0)
             && self.types == spec.types
@@ -137,32 +147,35 @@
     }
 }
 
-/// One machine, for the coordinator.
+/// State of one machine, as the coordinator sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineDigest {
-    /// Its name.
+    /// Name of the machine.
     pub machine: MachineId,
     /// Free processors.
     pub cpus: f64,
     /// Free GPUs.
     pub gpus: f64,
-    /// Free memory.
+    /// Free memory in GB.
     pub memory_gb: f64,
-    /// Seconds without a task; negative while it has some.
+    /// Seconds since the machine became idle; negative while it has tasks.
     pub idle_s: f64,
-    /// Seconds since its last answered heartbeat; negative before the first.
+    /// Seconds since its last heartbeat that was answered; negative before the first.
     pub heartbeat_age_s: f64,
-    /// Seconds since its worker was surely in touch both ways.
-    pub lost_s: f64,
-    /// It may run tasks of an earlier leader: its shard was taken over, and its worker
-    /// has not been heard since. Jobs from before the take-over wait for it.
+    /// Seconds since contact with its worker was last confirmed in both directions.
+    #[serde(rename = "lost_s")]
+    pub out_of_contact_s: f64,
+    /// Whether the machine may run tasks of an earlier leader: its shard was taken over, and
+    /// its worker has not sent a heartbeat since. Jobs from before the failover wait for it.
     #[serde(default)]
     pub unreported: bool,
-    /// It should be replaced.
+    /// Whether the machine is unhealthy and should be replaced.
     pub quarantined: bool,
-    /// Share of it that tasks hold which may not run on spot machines.
-    pub pinned: f64,
-    /// Room held by tasks of each rank, lowest first: what higher ranks may
-    /// take.
-    pub held: Vec<(crate::job::Rank, f64, f64, f64)>,
+    /// Share of the machine, from 0 to 1, in use by tasks that may not run on spot machines.
+    #[serde(rename = "pinned")]
+    pub non_spot_share: f64,
+    /// Processors, GPUs and GB of memory in use by tasks of each rank, lowest rank first. Tasks
+    /// of higher ranks may preempt them.
+    #[serde(rename = "held")]
+    pub held_by_rank: Vec<(crate::job::Rank, f64, f64, f64)>,
 }
--- a/crates/pulleywood-protocol/src/record/job.rs
+++ b/crates/pulleywood-protocol/src/record/job.rs
@@ -1,4 +1,4 @@
-//! A job: live, its done tasks, its final state.
+//! Records of jobs: live jobs, their done tasks and their final states.
 
 use super::{Slots, TaskSet};
 use crate::ids::ShardId;
@@ -6,47 +6,47 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// A live job.
+/// Record of a live job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What was submitted.
+    /// The submission.
     pub spec: JobSpec,
-    /// When it was accepted, in milliseconds since the Unix epoch, by the clock of the
-    /// controller that accepted it.
-    #[serde(default)]
-    pub at_ms: u64,
-    /// The shard that runs its tasks, chosen by free capacity at acceptance. The shard
-    /// in its key only says where the record is found.
+    /// Time of acceptance, in milliseconds since the Unix epoch, on the clock of the controller
+    /// that accepted the job.
+    #[serde(rename = "at_ms", default)]
+    pub accepted_at_ms: u64,
+    /// The shard that runs the tasks, chosen by free capacity at acceptance. The shard in the
+    /// key of the record only determines where the record is stored.
     #[serde(rename = "part")]
     pub shard: ShardId,
-    /// Tasks transferred to other shards; all others are `shard`'s.
+    /// Tasks transferred to other shards. All other tasks belong to `shard`.
     #[serde(default)]
     #[serde(rename = "lent")]
     pub transferred: Vec<TaskTransfer>,
-    /// Done tasks of the first chunk, as [`TaskSet::chunk_text`] writes them.
+    /// Done tasks of the first chunk, in the format of [`TaskSet::chunk_text`].
     #[serde(default)]
     pub done: String,
 }
 
-/// Tasks of a job that another shard than the job's own runs.
+/// Tasks of a job that were transferred to another shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskTransfer {
-    /// The shard that runs them.
+    /// The shard that runs the tasks.
     #[serde(rename = "part")]
     pub shard: ShardId,
-    /// The only zone they may run in. It keeps a job that is spread over zones spread
-    /// when several shards run it.
+    /// The only zone that the tasks may run in; `None` if the job allows any. It keeps the tasks
+    /// of a spread job spread over zones when several shards run them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// The tasks, as [`TaskSet::chunk_text`] writes them.
+    /// The tasks, in the format of [`TaskSet::chunk_text`].
     pub tasks: String,
 }
 
 /// Chunk size that covers all tasks of any job.
-const WHOLE_JOB: u32 = 1 << 20;
+const WHOLE_JOB_CHUNK: u32 = 1 << 20;
 
 impl JobRecord {
-    /// The tasks that one shard runs.
+    /// The tasks that belong to the given shard.
     pub fn share(&self, shard: ShardId) -> TaskSet {
         let mut set = TaskSet::new();
         if shard != self.shard {
@@ -55,50 +55,50 @@
                 .iter()
                 .filter(|transfer| transfer.shard == shard)
             {
-                set.add_chunk(&transfer.tasks, 0, WHOLE_JOB, self.spec.tasks);
+                set.add_chunk(&transfer.tasks, 0, WHOLE_JOB_CHUNK, self.spec.tasks);
             }
             return set;
         }
         set = TaskSet::full(self.spec.tasks);
         for transfer in &self.transferred {
-            for i in self.transferred_tasks(transfer).iter() {
-                set.remove(i);
+            for index in self.transferred_tasks(transfer).iter() {
+                set.remove(index);
             }
         }
         set
     }
 
-    /// The shards that run its tasks.
+    /// The shard of the job and all shards that tasks were transferred to.
     pub fn shards(&self) -> BTreeSet<ShardId> {
         let transferred = self.transferred.iter().map(|transfer| transfer.shard);
         transferred.chain([self.shard]).collect()
     }
 
-    /// The tasks of one transfer.
+    /// Decodes the tasks of a transfer.
     pub fn transferred_tasks(&self, transfer: &TaskTransfer) -> TaskSet {
         let mut set = TaskSet::new();
-        set.add_chunk(&transfer.tasks, 0, WHOLE_JOB, self.spec.tasks);
+        set.add_chunk(&transfer.tasks, 0, WHOLE_JOB_CHUNK, self.spec.tasks);
         set
     }
 
-    /// Has tasks run by shard `to`, whichever shard runs them now, in one zone only if
-    /// `zone` is given.
+    /// Transfers tasks to shard `to`, whichever shards they belong to now. If `zone` is given,
+    /// they may run only there.
     pub fn transfer_tasks(&mut self, to: ShardId, zone: Option<&str>, tasks: &TaskSet) {
         let mut transfers: Vec<(ShardId, Option<String>, TaskSet)> = Vec::new();
         for transfer in &self.transferred {
             let mut set = self.transferred_tasks(transfer);
-            for i in tasks.iter() {
-                set.remove(i);
+            for index in tasks.iter() {
+                set.remove(index);
             }
             transfers.push((transfer.shard, transfer.zone.clone(), set));
         }
         if to != self.shard {
-            let same = transfers
+            let existing = transfers
                 .iter_mut()
-                .find(|(p, z, _)| *p == to && z.as_deref() == zone);
-            match same {
-                Some((.., set)) => tasks.iter().for_each(|i| {
-                    set.insert(i);
+                .find(|(shard, its_zone, _)| *shard == to && its_zone.as_deref() == zone);
+            match existing {
+                Some((.., set)) => tasks.iter().for_each(|index| {
+                    set.insert(index);
                 }),
                 None => transfers.push((to, zone.map(str::to_owned), tasks.clone())),
             }
@@ -109,34 +109,34 @@
             .map(|(shard, zone, set)| TaskTransfer {
                 shard,
                 zone,
-                tasks: set.chunk_text(0, WHOLE_JOB),
+                tasks: set.chunk_text(0, WHOLE_JOB_CHUNK),
             })
             .collect();
     }
 }
 
-/// A continuation of a live job's done tasks, for jobs whose set exceeds one value.
+/// A further chunk of a live job's done tasks, for jobs whose set does not fit into one value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRecord {
-    /// Done tasks of this chunk.
+    /// Done tasks of this chunk, in the format of [`TaskSet::chunk_text`].
     pub done: String,
 }
 
-/// A job's final state, kept for ever.
+/// Final state of a job. It is never deleted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Done or cancelled.
+    /// Final status: done or cancelled.
     pub status: JobStatus,
-    /// Tasks done.
+    /// Number of tasks done.
     pub done: u32,
-    /// The team.
+    /// Team of the job.
     pub team: String,
-    /// What one task took of its team.
+    /// Resources that each task counted against the quota of the team.
     pub slots: Slots,
 }
 
 impl FinalRecord {
-    /// The final state of a job that ends with this status.
+    /// Creates the final state of a job that ends with this status.
     pub fn new(spec: &JobSpec, status: JobStatus, done: u32) -> Self {
         let slots = Slots {
             cpus: spec.cpus,
--- a/crates/pulleywood-protocol/src/record/key.rs
+++ b/crates/pulleywood-protocol/src/record/key.rs
@@ -1,44 +1,44 @@
-//! Keys of the stored records. The words in them are those of the first release.
+//! Keys of the stored records. The strings are those of the first release and never change.
 
 use crate::ids::{JobId, ShardId};
 
-/// Prefix that the watch covers: live records and final states.
-pub const WATCHED: &str = "c";
-/// Prefix of all live records.
-pub const LIVE: &str = "c/";
-/// Prefix of final states.
-pub const CLOSED: &str = "closed/";
-/// The layout: how many shards there are. Written once, never changed.
+/// Prefix of all watched keys, which are those of live records and of final states.
+pub const WATCH_PREFIX: &str = "c";
+/// Prefix of all records except final states.
+pub const LIVE_PREFIX: &str = "c/";
+/// Prefix of the final states of jobs.
+pub const FINAL_STATE_PREFIX: &str = "closed/";
+/// Key of the layout, which is written once and never changed.
 pub const LAYOUT: &str = "c/layout";
-/// The shared fencing-token counter.
+/// Key of the shared fencing-token counter.
 pub const FENCING_TOKEN: &str = "c/term";
-/// Prefix of all live jobs.
+/// Prefix of the records of live jobs.
 pub const JOBS: &str = "c/job/";
-/// Prefix of all job batches.
+/// Prefix of the job batches.
 pub const JOB_BATCHES: &str = "c/pack/";
-/// The head of the job batches, written with each new batch.
+/// Key of the head of the job batches, which is written with each new batch.
 pub const JOB_BATCH_HEAD: &str = "c/head";
-/// The head of the machine batches, written with each registration.
+/// Key of the head of the machine batches, which is written with each registration.
 pub const MACHINE_BATCH_HEAD: &str = "c/racks";
-/// Prefix of all machine batches.
+/// Prefix of the machine batches.
 pub const MACHINE_BATCHES: &str = "c/rack/";
-/// The coordinator lease.
+/// Key of the coordinator lease.
 pub const COORDINATOR_LEASE: &str = "c/role";
 
-/// Prefix of the shards' leaders.
+/// Prefix of the leaders of shards.
 const SHARD_LEADERS: &str = "c/part/";
-/// Prefix of the shards' previous leaders.
+/// Prefix of the most recent leaders of shards.
 const PREVIOUS_LEADERS: &str = "c/last/";
-/// Prefix of the shards' quotas.
+/// Prefix of the quotas of shards.
 const QUOTAS: &str = "c/grant/";
 
-/// Key of a shard's leader. It is attached to the leader's session lease, so it is
-/// gone when the lease has expired.
+/// Key of a shard's leader. It is attached to the leader's session lease, so the store deletes
+/// it when the lease expires.
 pub fn shard_leader_key(shard: ShardId) -> String {
     format!("{SHARD_LEADERS}{shard}")
 }
 
-/// Key of a shard's most recent leader, which outlives the lease.
+/// Key of a shard's most recent leader. Unlike the key of the leader it outlives the lease.
 pub fn previous_leader_key(shard: ShardId) -> String {
     format!("{PREVIOUS_LEADERS}{shard}")
 }
@@ -53,13 +53,14 @@
     format!("{MACHINE_BATCHES}{number}")
 }
 
-/// Key of a live job. `shard` is the one that the job's id hashes to
-/// ([`JobId::shard`]), which need not be the one that runs the job.
+/// Key of a live job. `shard` is the one that the job's id hashes to ([`JobId::shard`]), which
+/// need not be the one that runs the job.
 pub fn job_key(shard: ShardId, job: &JobId) -> String {
     format!("{JOBS}{shard}/{job}")
 }
 
-/// Key of the `chunk`-th continuation of a live job's done tasks, from 1.
+/// Key of a further chunk of a live job's done tasks. Chunk 0 is in the job's record, so `chunk`
+/// starts at 1.
 pub fn chunk_key(shard: ShardId, job: &JobId, chunk: u32) -> String {
     format!("{JOBS}{shard}/{job}/{chunk}")
 }
@@ -71,23 +72,23 @@
 
 /// Key of a job's final state.
 pub fn final_key(job: &JobId) -> String {
-    format!("{CLOSED}{job}")
+    format!("{FINAL_STATE_PREFIX}{job}")
 }
 
-/// Key after which a listing of final states has to begin for a job's own to be among
-/// the first: at most nine whose ids differ in the last digit come before it.
-pub fn before_final_key(job: &JobId) -> String {
+/// Start key for a list of final states in which the given job's is among the first: at most
+/// nine keys, whose ids differ in the last digit, come before it.
+pub fn list_start_before_final_key(job: &JobId) -> String {
     let mut key = final_key(job);
     key.pop();
     key
 }
 
-/// The job whose final state this key holds.
-pub fn closed_job(path: &str) -> Option<JobId> {
-    JobId::parse(path.strip_prefix(CLOSED)?)
+/// The job whose final state is stored under this key; `None` if it is no such key.
+pub fn job_of_final_key(path: &str) -> Option<JobId> {
+    JobId::parse(path.strip_prefix(FINAL_STATE_PREFIX)?)
 }
 
-/// What a key below [`LIVE`] holds.
+/// A parsed key below [`LIVE_PREFIX`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Key {
     /// The layout.
@@ -110,15 +111,15 @@
     JobBatchHead,
     /// A job batch.
     JobBatch(u64),
-    /// A live job (chunk 0), or a continuation of its done tasks (chunk 1 and on). The
+    /// The record of a live job (chunk 0), or a further chunk of its done tasks (from 1). The
     /// shard is the one that the job's id hashes to.
     Job(ShardId, JobId, u32),
 }
 
 impl Key {
-    /// Parses a key. Readers ignore unknown ones, which a later release may write.
+    /// Parses a key; `None` if it is unknown. A later release may write such keys.
     pub fn parse(path: &str) -> Option<Key> {
-        let rest = path.strip_prefix(LIVE)?;
+        let rest = path.strip_prefix(LIVE_PREFIX)?;
         let (kind, tail) = rest.split_once('/').unwrap_or((rest, ""));
         let shard = || tail.parse().ok().map(ShardId);
         Some(match kind {
--- a/crates/pulleywood-protocol/src/record/lease_holder.rs
+++ b/crates/pulleywood-protocol/src/record/lease_holder.rs
@@ -1,27 +1,27 @@
-//! Who leads a shard, or coordinates.
+//! Holders of leases: leaders of shards and the coordinator.
 
 use crate::ids::{FencingToken, MemberId};
 use serde::{Deserialize, Serialize};
 
-/// The controller that holds, or last held, a shard or the coordinator lease.
+/// The controller that leads or last led a shard, or that holds the coordinator lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseHolder {
-    /// The controller.
+    /// Name of the controller.
     pub member: MemberId,
-    /// Its process: a random number drawn at each start.
+    /// Random number that identifies the process of the controller.
     pub boot: u64,
-    /// The fencing token drawn for it.
+    /// The fencing token under which it holds the lease.
     #[serde(rename = "term")]
     pub fencing_token: FencingToken,
 }
 
-/// A shard's most recent leader. Unlike the leader's own key it outlives the lease.
+/// The most recent leader of a shard. Unlike the record of the leader it outlives the lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreviousLeaseHolder {
-    /// The holder.
+    /// The most recent leader.
     pub holder: LeaseHolder,
-    /// It has accounted for every machine that earlier leaders commanded. Until then
-    /// workers may still run tasks that one of those launched.
-    #[serde(default)]
-    pub settled: bool,
+    /// Whether it has accounted for every machine that earlier leaders commanded. Until then
+    /// workers may still run tasks that an earlier leader launched.
+    #[serde(rename = "settled", default)]
+    pub reconciled: bool,
 }
--- a/crates/pulleywood-protocol/src/record/mod.rs
+++ b/crates/pulleywood-protocol/src/record/mod.rs
@@ -1,11 +1,11 @@
-//! Records kept in the store, and their keys.
+//! Records in the state service, and their keys.
 //!
-//! Each record is CBOR; field names are those of the first release and never
-//! change (see the serde renames). A reader ignores fields that it does not know
-//! and fills in those that an earlier release did not write.
+//! Each record is encoded as CBOR. Field names are those of the first release and never change
+//! (see the serde renames). A reader ignores unknown fields, and uses defaults for fields that
+//! an earlier release did not write.
 //!
-//! Everything that changes while jobs are live is below `c/`; final states are
-//! below `closed/`. One watch covers both; only the former is ever listed as a whole.
+//! Final states of jobs are stored below `closed/`, all other records below `c/`. One watch
+//! covers both prefixes; only `c/` is ever listed as a whole.
 
 mod job;
 mod key;
--- a/crates/pulleywood-protocol/src/record/quota.rs
+++ b/crates/pulleywood-protocol/src/record/quota.rs
@@ -1,24 +1,24 @@
-//! What a shard may use of each team's limit.
+//! Quotas: the shares of teams' limits that a shard may use.
 
 use crate::cbor::Amount;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Resources that count against a team's limit.
+/// Resources that count against the limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Slots {
-    /// Processors.
+    /// Number of processors.
     pub cpus: Amount,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: Amount,
 }
 
-/// A shard's quota of each limited team. The quotas of all shards add up to no more
-/// than the team's limit.
+/// Quotas of a shard, for each team with a limit. The quotas of all shards add up to at most the
+/// limit of the team.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaRecord {
-    /// Rises with every change.
+    /// Version, which increases with every change.
     pub epoch: u64,
-    /// Slots by team. A team that is not listed has none.
+    /// Quota by team. A team that is not listed has no quota.
     pub teams: BTreeMap<String, Slots>,
 }
--- a/crates/pulleywood-protocol/src/record/singleton.rs
+++ b/crates/pulleywood-protocol/src/record/singleton.rs
@@ -1,20 +1,20 @@
-//! Records of which there is one.
+//! Records that exist once in a cluster: the layout and the fencing-token counter.
 
 use super::FENCING_TOKEN;
 use crate::ids::{FencingToken, Revision};
 use crate::store::Transaction;
 use serde::{Deserialize, Serialize};
 
-/// How the cluster is divided. Written at the first start and never changed, since
-/// job keys and the shard of new machines follow from it.
+/// Division of the cluster into shards. Written at the first start and never changed, since job
+/// keys and the shards of new machines are derived from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Layout {
-    /// How many shards.
+    /// Number of shards.
     #[serde(rename = "parts")]
     pub shards: u32,
 }
 
-/// The counter that fencing tokens are drawn from. It only ever rises.
+/// The counter from which fencing tokens are issued. It never decreases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingTokenCounter {
     /// The last fencing token issued.
@@ -22,7 +22,8 @@
 }
 
 impl FencingTokenCounter {
-    /// Adds to a transaction that the counter, which was read at `revision`, becomes this one.
+    /// Adds to a transaction that this record replaces the stored counter, provided that it is
+    /// unchanged since `revision`.
     pub fn replace(self, transaction: Transaction, revision: Revision) -> Transaction {
         transaction
             .when(FENCING_TOKEN, revision)
--- a/crates/pulleywood-protocol/src/record/task_set.rs
+++ b/crates/pulleywood-protocol/src/record/task_set.rs
@@ -1,15 +1,15 @@
-//! Sets of task numbers, in memory and as stored.
+//! Sets of task indices, and their stored form.
 
 use base64::{Engine, engine::general_purpose::STANDARD_NO_PAD};
 
-/// How many tasks one record's done set may cover, so that a set of any
-/// pattern stays within the value limit (bits as base64 text).
+/// Number of tasks in one chunk of a job's done tasks, for a limit of `value_kb` KiB per value.
+/// Any set of that many tasks fits into one record, in the worst case as a base64 bitmap.
 pub fn chunk_tasks(value_kb: f64) -> u32 {
-    let room = (value_kb * 1024.0 - 3072.0).max(1024.0);
-    ((room * 6.0) as u32) / 64 * 64
+    let available_bytes = (value_kb * 1024.0 - 3072.0).max(1024.0);
+    ((available_bytes * 6.0) as u32) / 64 * 64
 }
 
-/// A set of task numbers.
+/// A set of task indices.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TaskSet {
     words: Vec<u64>,
@@ -17,147 +17,155 @@
 }
 
 impl TaskSet {
-    /// An empty set.
+    /// Creates an empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// All of `0..n`.
-    pub fn full(n: u32) -> Self {
-        let mut words = vec![u64::MAX; n as usize / 64];
-        if !n.is_multiple_of(64) {
-            words.push((1 << (n % 64)) - 1);
+    /// Creates the set of all indices below `task_count`.
+    pub fn full(task_count: u32) -> Self {
+        let mut words = vec![u64::MAX; task_count as usize / 64];
+        if !task_count.is_multiple_of(64) {
+            words.push((1 << (task_count % 64)) - 1);
+        }
+        Self {
+            words,
+            count: task_count,
         }
-        Self { words, count: n }
     }
 
-    /// Members.
+    /// Number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// No member.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Whether `i` is a member.
-    pub fn contains(&self, i: u32) -> bool {
+    /// Whether the set contains the task.
+    pub fn contains(&self, index: u32) -> bool {
         self.words
-            .get(i as usize / 64)
-            .is_some_and(|w| w >> (i % 64) & 1 == 1)
+            .get(index as usize / 64)
+            .is_some_and(|word| word >> (index % 64) & 1 == 1)
     }
 
-    /// Adds `i`; whether it was new.
-    pub fn insert(&mut self, i: u32) -> bool {
-        let word = i as usize / 64;
+    /// Adds a task. Returns whether it was not in the set before.
+    pub fn insert(&mut self, index: u32) -> bool {
+        let word = index as usize / 64;
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
         }
-        let new = self.words[word] >> (i % 64) & 1 == 0;
-        self.words[word] |= 1 << (i % 64);
+        let new = self.words[word] >> (index % 64) & 1 == 0;
+        self.words[word] |= 1 << (index % 64);
         self.count += u32::from(new);
         new
     }
 
-    /// Removes `i`; whether it was there.
-    pub fn remove(&mut self, i: u32) -> bool {
-        let there = self.contains(i);
-        if there {
-            self.words[i as usize / 64] &= !(1 << (i % 64));
+    /// Removes a task. Returns whether it was in the set.
+    pub fn remove(&mut self, index: u32) -> bool {
+        let present = self.contains(index);
+        if present {
+            self.words[index as usize / 64] &= !(1 << (index % 64));
             self.count -= 1;
         }
-        there
+        present
     }
 
-    /// Members in order.
+    /// The tasks in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.words.iter().enumerate().flat_map(|(n, &word)| {
-            let mut rest = word;
+        self.words.iter().enumerate().flat_map(|(position, &word)| {
+            let mut remaining = word;
             std::iter::from_fn(move || {
-                (rest != 0).then(|| {
-                    let bit = rest.trailing_zeros();
-                    rest &= rest - 1;
-                    n as u32 * 64 + bit
+                (remaining != 0).then(|| {
+                    let bit = remaining.trailing_zeros();
+                    remaining &= remaining - 1;
+                    position as u32 * 64 + bit
                 })
             })
         })
     }
 
-    /// Text of the members in one chunk: ranges while they are short, else
-    /// the bits as base64.
-    pub fn chunk_text(&self, chunk: u32, size: u32) -> String {
+    /// Encodes the tasks of one chunk, relative to its start: as a list of ranges such as
+    /// `0-4,7`, or, if that is longer, as `=` and a bitmap in base64.
+    pub fn chunk_text(&self, chunk: u32, chunk_size: u32) -> String {
         use std::fmt::Write;
-        let start = chunk * size;
-        let bitmap_len = size as usize / 6 + 4;
+        let start = chunk * chunk_size;
+        let bitmap_len = chunk_size as usize / 6 + 4;
         let mut text = String::new();
-        let mut run: Option<(u32, u32)> = None;
-        let push = |text: &mut String, (a, b): (u32, u32)| {
-            let sep = if text.is_empty() { "" } else { "," };
-            let _ = if a == b {
-                write!(text, "{sep}{a}")
+        let mut range: Option<(u32, u32)> = None;
+        let push_range = |text: &mut String, (first, last): (u32, u32)| {
+            let separator = if text.is_empty() { "" } else { "," };
+            let _ = if first == last {
+                write!(text, "{separator}{first}")
             } else {
-                write!(text, "{sep}{a}-{b}")
+                write!(text, "{separator}{first}-{last}")
             };
         };
-        for i in self
+        for index in self
             .iter()
-            .skip_while(|&i| i < start)
-            .take_while(|&i| i < start.saturating_add(size))
+            .skip_while(|&index| index < start)
+            .take_while(|&index| index < start.saturating_add(chunk_size))
         {
-            let i = i - start;
-            match run {
-                Some((a, b)) if b + 1 == i => run = Some((a, i)),
-                Some(r) => {
-                    push(&mut text, r);
-                    run = Some((i, i));
+            let offset = index - start;
+            match range {
+                Some((first, last)) if last + 1 == offset => range = Some((first, offset)),
+                Some(complete) => {
+                    push_range(&mut text, complete);
+                    range = Some((offset, offset));
                 }
-                None => run = Some((i, i)),
+                None => range = Some((offset, offset)),
             }
             if text.len() > bitmap_len {
                 break;
             }
         }
         if text.len() <= bitmap_len {
-            if let Some(r) = run {
-                push(&mut text, r);
+            if let Some(last_range) = range {
+                push_range(&mut text, last_range);
             }
             return text;
         }
-        let first = start as usize / 64;
-        let words = self.words.get(first..).unwrap_or(&[]);
+        let first_word = start as usize / 64;
+        let words = self.words.get(first_word..).unwrap_or(&[]);
         let bytes: Vec<u8> = words
             .iter()
-            .take(size as usize / 64)
-            .flat_map(|w| w.to_le_bytes())
+            .take(chunk_size as usize / 64)
+            .flat_map(|word| word.to_le_bytes())
             .collect();
         format!("={}", STANDARD_NO_PAD.encode(bytes))
     }
 
-    /// Adds a chunk's members; false if the text is malformed.
-    pub fn add_chunk(&mut self, text: &str, chunk: u32, size: u32, tasks: u32) -> bool {
-        let start = u64::from(chunk) * u64::from(size);
-        let add = |set: &mut Self, i: u64| {
-            let sound = start + i < u64::from(tasks);
-            if sound {
-                set.insert((start + i) as u32);
+    /// Adds the tasks of a chunk in the format of [`TaskSet::chunk_text`]. Returns `false` if the
+    /// text is malformed or contains a task that is not below `task_count`.
+    pub fn add_chunk(&mut self, text: &str, chunk: u32, chunk_size: u32, task_count: u32) -> bool {
+        let start = u64::from(chunk) * u64::from(chunk_size);
+        let add = |set: &mut Self, offset: u64| {
+            let is_valid = start + offset < u64::from(task_count);
+            if is_valid {
+                set.insert((start + offset) as u32);
             }
-            sound
+            is_valid
         };
-        if let Some(bits) = text.strip_prefix('=') {
-            let Ok(bytes) = STANDARD_NO_PAD.decode(bits) else {
+        if let Some(bitmap) = text.strip_prefix('=') {
+            let Ok(bytes) = STANDARD_NO_PAD.decode(bitmap) else {
                 return false;
             };
-            return bytes.iter().enumerate().all(|(n, byte)| {
-                (0..8).all(|b| byte >> b & 1 == 0 || add(self, n as u64 * 8 + b))
+            return bytes.iter().enumerate().all(|(position, byte)| {
+                (0..8).all(|bit| byte >> bit & 1 == 0 || add(self, position as u64 * 8 + bit))
             });
         }
-        text.split(',').filter(|s| !s.is_empty()).all(|run| {
-            let (a, b) = run.split_once('-').unwrap_or((run, run));
-            match (a.parse::<u64>(), b.parse::<u64>()) {
-                (Ok(a), Ok(b)) if a <= b && b < u64::from(size) => (a..=b).all(|i| add(self, i)),
-                _ => false,
-            }
-        })
+        text.split(',')
+            .filter(|range| !range.is_empty())
+            .all(|range| {
+                let (first, last) = range.split_once('-').unwrap_or((range, range));
+                match (first.parse::<u64>(), last.parse::<u64>()) {
+                    (Ok(first), Ok(last)) if first <= last && last < u64::from(chunk_size) => {
+                        (first..=last).all(|offset| add(self, offset))
+                    }
+                    _ => false,
+                }
+            })
     }
 }
--- a/crates/pulleywood-protocol/src/settings/check.rs
+++ b/crates/pulleywood-protocol/src/settings/check.rs
@@ -1,66 +1,69 @@
-//! Checks of settings that their types alone cannot make.
+//! Validation of settings beyond what their types ensure.
 
-use super::{Bounds, Cluster, Settings, StateLimits, Workers};
+use super::{Cluster, ConnectionLimits, Settings, StateLimits, Workers};
 use crate::job::MAX_TASKS;
 use crate::record::chunk_tasks;
 
-/// A setting that cannot be used.
+/// A setting with an invalid value.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {problem}")]
 pub struct InvalidSetting {
-    /// Where in the file, such as `cluster.state.rps` or `seeds[1].endpoint`.
+    /// Path of the setting in the file, such as `cluster.state.rps` or `seeds[1].endpoint`.
     pub path: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub problem: Problem,
 }
 
-/// What is wrong with a setting.
+/// Why the value of a setting is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// Empty text.
+    /// The text is empty.
     #[error("must not be empty")]
     Empty,
-    /// Text that is no socket address.
+    /// The text is not a socket address.
     #[error("must be an IP address and a port")]
     NotAnAddress,
-    /// Zero, negative or not finite.
+    /// The number is zero, negative or not finite.
     #[error("must be a positive number")]
     NotPositive,
-    /// Negative or not finite.
+    /// The number is negative or not finite.
     #[error("must not be negative")]
     Negative,
-    /// Below the least value that works.
+    /// The number is below this minimum.
     #[error("must be at least {0}")]
     Below(u32),
-    /// Out of contact, workers could not be answered for long enough.
+    /// While out of contact with the state service, the controller could not answer workers
+    /// for long enough.
     #[error("must exceed cluster.workers.lease_s by at least 3 s")]
     TooCloseToLease,
-    /// Each controller needs [`MIN_RPS`].
-    #[error("too few for so many controllers: each needs 4 a second")]
+    /// Fewer than [`MIN_RPS`] for each controller.
+    #[error("too low for the number of controllers: each needs 4 requests per second")]
     TooFewRequests,
-    /// Each controller needs [`MIN_WRITE_RPS`].
-    #[error("too few for so many controllers: each needs one in two seconds")]
+    /// Fewer than [`MIN_WRITE_RPS`] for each controller.
+    #[error("too low for the number of controllers: each needs 0.5 writes per second")]
     TooFewWrites,
-    /// The largest job could not be ended in one transaction.
-    #[error("too few for values of cluster.state.value_kb and jobs of 100,000 tasks")]
+    /// The end of a job of the maximum size would not fit into one transaction.
+    #[error(
+        "too low for cluster.state.value_kb: a job of 100,000 tasks must end in one transaction"
+    )]
     TooFewOperations,
-    /// Fewer threads for connections would be left than are of use.
-    #[error("too few for the other controllers and some workers")]
+    /// Too few threads for connections would be left for a usable controller.
+    #[error("too low: leaves too few threads for other controllers, workers and users")]
     TooFewThreads,
 }
 
-/// Least time between the end of a worker's lease and the end of a cancellation, in
-/// seconds. Out of contact with the store, workers are answered until a lease before a
-/// cancellation must be obeyed; with less time between the two they would be refused
-/// whenever the store is slow.
+/// Minimum of `cancel_s - lease_s`, in seconds. A controller without contact to the store
+/// answers workers until one lease before a cancellation must have taken effect. With a smaller
+/// difference, it would refuse workers whenever the store is slow.
 const MIN_ANSWER_S: f64 = 3.0;
-/// Fewest requests a second for each controller: its lease, its watch, transactions.
+/// Minimum number of requests per second for each controller: its lease, its watch and
+/// transactions.
 pub const MIN_RPS: f64 = 4.0;
-/// Fewest writes a second for each controller: acquiring a shard takes four.
+/// Minimum number of writes per second for each controller: acquiring a shard takes four.
 pub const MIN_WRITE_RPS: f64 = 0.5;
-/// Smallest value of the store that holds a job's record, in KiB.
+/// Minimum size limit of stored values that is enough for the record of a job, in KiB.
 const MIN_VALUE_KB: u32 = 4;
-/// Fewest operations of a transaction: acquiring a shard takes seven.
+/// Minimum number of operations per transaction: acquiring a shard takes seven.
 const MIN_TXN_OPS: u32 = 8;
 
 type Check = Result<(), InvalidSetting>;
@@ -89,11 +92,11 @@
 }
 
 impl Settings {
-    /// Checks what the types alone cannot. Settings that pass are safe to start with.
+    /// Validates the settings. A controller can start with settings that pass.
     ///
     /// # Errors
     ///
-    /// The first setting that cannot be used, in the order of the checks below.
+    /// The first invalid setting, in the order of the checks below.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         ensure(!self.member.is_empty(), "member", Problem::Empty)?;
         self.check_addresses()?;
@@ -104,8 +107,8 @@
         ensure_not_negative("cluster.cloud.list_lag_s", lag)?;
         self.cluster.state.check_sizes()?;
         self.check_threads()?;
-        let any = self.cluster.initial_size > 0;
-        ensure(any, "cluster.initial_size", Problem::Below(1))?;
+        let has_controllers = self.cluster.initial_size > 0;
+        ensure(has_controllers, "cluster.initial_size", Problem::Below(1))?;
         self.cluster.check_teams()
     }
 
@@ -121,7 +124,8 @@
     }
 
     fn check_threads(&self) -> Check {
-        let Some(field) = Bounds::too_few(self, Bounds::FEWEST) else {
+        let Some(field) = ConnectionLimits::limiting_setting(self, ConnectionLimits::MIN_THREADS)
+        else {
             return Ok(());
         };
         let path = format!("cluster.resources.{field}");
@@ -200,8 +204,7 @@
             "cluster.state.txn_ops",
             Problem::Below(MIN_TXN_OPS),
         )?;
-        // A job's done tasks are deleted, and its final state written, in one
-        // transaction.
+        // One transaction deletes all chunks of a job's done tasks and writes its final state.
         let chunks = MAX_TASKS.div_ceil(chunk_tasks(self.value_kb));
         ensure(
             chunks < self.txn_ops,
--- a/crates/pulleywood-protocol/src/settings/mod.rs
+++ b/crates/pulleywood-protocol/src/settings/mod.rs
@@ -1,155 +1,157 @@
-//! The settings file that the platform hands over.
+//! The settings file of a controller, which the platform provides.
 
-mod bounds;
 mod check;
+mod connection_limits;
 
-pub use bounds::Bounds;
 pub use check::{InvalidSetting, MIN_RPS, MIN_WRITE_RPS, Problem};
+pub use connection_limits::ConnectionLimits;
 
 use serde::{Deserialize, Serialize};
 
-/// All settings.
+/// All settings of a controller.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Settings {
-    /// This controller.
+    /// Name of this controller.
     pub member: String,
-    /// Its zone.
+    /// Zone of this controller.
     pub domain: String,
-    /// Where users, workers and health checks connect.
+    /// Address to listen on for users, workers and health checks.
     pub serve_on: String,
-    /// Where other controllers connect.
+    /// Address to listen on for other controllers.
     pub cluster_listen: String,
     /// The other controllers.
     pub seeds: Vec<Seed>,
-    /// Outside services.
+    /// Addresses of the external services.
     pub services: Services,
-    /// What the cluster is like.
+    /// Settings that all controllers share.
     pub cluster: Cluster,
 }
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Seed {
-    /// Its name.
+    /// Name of the controller.
     pub member: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub domain: String,
-    /// Its cluster address.
+    /// Address on which it listens for other controllers.
     pub endpoint: String,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: String,
-    /// The state service.
+    /// Address of the state service.
     pub state: String,
 }
 
-/// The cluster's settings.
+/// Settings that all controllers share.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Cluster {
-    /// Controllers at the start.
+    /// Number of controllers at the first start, at least 1. It is also the number of shards.
     pub initial_size: u32,
-    /// Zones.
+    /// Zones in which machines may be rented.
     pub zones: Vec<String>,
-    /// Teams.
+    /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// What is expected of each class.
+    /// Service-level objectives of job classes.
     #[serde(default)]
     pub objectives: Vec<ServiceLevelObjective>,
-    /// Workers' timing.
+    /// Timing of workers' heartbeats and leases.
     pub workers: Workers,
-    /// The state service's limits.
+    /// Limits of the state service.
     pub state: StateLimits,
-    /// The cloud's limits.
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// This process's limits.
+    /// Limits of the controller process.
     pub resources: Resources,
-    /// Bound of the time of day.
+    /// Maximum error of the wall clock, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// Guarantees and limits of a team; 0 means that there is none.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed number of processors.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processors.
+    /// Maximum number of processors.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs.
+    /// Guaranteed number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs.
+    /// Maximum number of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim for a class.
+/// A service-level objective.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ServiceLevelObjective {
-    /// What is measured.
+    /// `finished` for an objective about the end of a job; any other value for one about its
+    /// start.
     pub kind: String,
-    /// The class, if it is about one.
+    /// The job class that the objective applies to; `None` applies to all.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time allowed.
+    /// Maximum time, in seconds.
     #[serde(default)]
     pub within_s: f64,
-    /// Share expected.
+    /// Share of jobs, from 0 to 1, that have to meet the maximum time.
     #[serde(default)]
     pub share: f64,
 }
 
-/// Workers' timing.
+/// Timing of workers' heartbeats and leases.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Workers {
-    /// Between reports.
+    /// Interval between heartbeats, in seconds.
     pub report_s: f64,
-    /// A worker's lease.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Time for a cancellation.
+    /// Time within which a cancellation has to take effect, in seconds.
     pub cancel_s: f64,
 }
 
-/// The state service's limits.
+/// Limits of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Maximum number of writes per second.
     pub write_rps: f64,
-    /// KiB a value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Changes a transaction.
+    /// Maximum number of operations per transaction.
     pub txn_ops: u32,
 }
 
-/// The cloud's limits.
+/// Limits of the cloud.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// How far lists lag.
+    /// Nominal lag of machine lists, in seconds.
     pub list_lag_s: f64,
 }
 
-/// This process's limits.
+/// Limits of the controller process.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Resources {
-    /// Share of a core.
+    /// Number of processor cores, possibly a fraction.
     pub cores: f64,
-    /// Memory.
+    /// Memory in MB.
     pub ram_mb: f64,
-    /// Sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: u32,
-    /// Threads; the platforms that pulleywood runs on allow as many by default.
+    /// Maximum number of threads. The default is what the platforms that pulleywood runs on
+    /// allow.
     #[serde(default = "default_threads")]
     pub max_threads: u32,
 }
--- a/crates/pulleywood-protocol/src/store.rs
+++ b/crates/pulleywood-protocol/src/store.rs
@@ -1,64 +1,64 @@
-//! Messages to and from the state service.
+//! Messages between controllers and the state service.
 
 use crate::cbor::Value;
 use crate::ids::{LeaseId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// One key as read.
+/// A key with its value and revision.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
     pub path: String,
-    /// Its value.
+    /// Value of the key.
     pub value: Value,
-    /// Revision of its last change.
+    /// Revision at which the key last changed.
     #[serde(rename = "stamp")]
     pub revision: Revision,
-    /// The lease it is attached to.
+    /// The lease that the key is attached to, if any. The key is deleted when the lease expires.
     #[serde(default)]
     #[serde(rename = "permit")]
     pub lease_id: Option<LeaseId>,
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys in order.
+    /// Items in key order.
     pub items: Vec<Item>,
-    /// More follow.
+    /// Whether further keys follow.
     pub more: bool,
-    /// The store's revision.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "ledger")]
     pub store_revision: u64,
 }
 
-/// A condition: the key has this revision (0: it does not exist).
+/// A condition of a transaction: the key has the given revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
     /// The key.
     pub path: String,
-    /// Its expected revision.
+    /// Expected revision; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
 
-/// One change.
+/// A write operation of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
-    /// Set a key's value.
+    /// Sets the value of a key.
     Put {
         /// The key.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value.
         value: Value,
-        /// Lease to attach it to; absent detaches.
+        /// Lease to attach the key to; `None` detaches it from any lease.
         #[serde(skip_serializing_if = "Option::is_none", default)]
         #[serde(rename = "permit")]
         lease_id: Option<LeaseId>,
     },
-    /// Delete a key.
+    /// Deletes a key.
     Delete {
         /// The key.
         #[serde(rename = "delete")]
@@ -66,19 +66,20 @@
     },
 }
 
-/// A transaction.
+/// A transaction: writes that are applied together if all conditions hold.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub compares: Vec<Compare>,
-    /// Changes made together.
+    /// Writes that are applied atomically.
     #[serde(rename = "apply")]
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Adds the condition that `path` has `revision`.
+    /// Adds the condition that the key `path` has the given revision, unless there is already a
+    /// condition on this key.
     pub fn when(mut self, path: impl Into<String>, revision: Revision) -> Self {
         let path = path.into();
         if !self.compares.iter().any(|c| c.path == path) {
@@ -87,7 +88,7 @@
         self
     }
 
-    /// Adds a write.
+    /// Adds a write of a key that is not attached to a lease.
     pub fn write<T: Serialize>(mut self, path: impl Into<String>, value: &T) -> Self {
         self.writes.push(Write::Put {
             key: path.into(),
@@ -97,8 +98,8 @@
         self
     }
 
-    /// Adds a write attached to a lease.
-    pub fn hold<T: Serialize>(
+    /// Adds a write of a key that is attached to a lease.
+    pub fn write_with_lease<T: Serialize>(
         mut self,
         path: impl Into<String>,
         value: &T,
@@ -112,17 +113,17 @@
         self
     }
 
-    /// Adds a deletion.
+    /// Adds the deletion of a key.
     pub fn delete(mut self, path: impl Into<String>) -> Self {
         self.writes.push(Write::Delete { key: path.into() });
         self
     }
 
-    /// Whether every key it changes is also compared: the rule for all
-    /// transactions, since a timed-out one may be applied minutes later.
+    /// Whether every written key has a condition. All transactions must fulfil this, since one
+    /// that timed out may be applied minutes later.
     pub fn is_compare_and_set(&self) -> bool {
-        self.writes.iter().all(|change| {
-            let key = match change {
+        self.writes.iter().all(|write| {
+            let key = match write {
                 Write::Put { key, .. } | Write::Delete { key } => key,
             };
             self.compares.iter().any(|c| &c.path == key)
@@ -130,60 +131,60 @@
     }
 }
 
-/// A transaction found keys not as it expected.
+/// The response to a transaction whose conditions do not all hold.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Failed {
-    /// Those keys.
-    #[serde(default)]
-    pub failed: Vec<String>,
+pub struct TransactionConflict {
+    /// Keys whose conditions do not hold.
+    #[serde(rename = "failed", default)]
+    pub conflicting_keys: Vec<String>,
 }
 
-/// The store's revision.
+/// The response to a transaction that was applied.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct StoreRevision {
-    /// Counts all changes.
+    /// Revision of the store, which increases with every change.
     #[serde(rename = "ledger")]
     pub store_revision: u64,
 }
 
-/// A new lease's length.
+/// A request for a new lease.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct Ttl {
-    /// Milliseconds.
+pub struct LeaseRequest {
+    /// Time to live of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// The response to a lease request.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Its number.
+    /// Id of the new lease.
     #[serde(rename = "permit")]
     pub lease_id: LeaseId,
 }
 
-/// One watched change.
+/// A change of one key, as delivered by a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Event {
-    /// The key, if it was written.
+    /// The key if it was written; `None` if it was deleted.
     #[serde(default)]
     pub write: Option<String>,
-    /// The key, if it was deleted.
+    /// The key if it was deleted; `None` if it was written.
     #[serde(default)]
     pub delete: Option<String>,
-    /// The new value.
+    /// The new value; `None` if the key was deleted.
     #[serde(default)]
     pub value: Option<Value>,
-    /// The revision.
+    /// Revision of the change.
     #[serde(rename = "stamp")]
     pub revision: Revision,
 }
 
-/// Answer of a watch.
+/// The response to a watch request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Events {
-    /// The store's revision.
+    /// Revision of the store up to which the events are complete.
     #[serde(rename = "ledger")]
     pub store_revision: u64,
-    /// The changes.
+    /// Changes in the order of their revisions.
     pub events: Vec<Event>,
 }
--- a/crates/pulleywood-protocol/src/worker.rs
+++ b/crates/pulleywood-protocol/src/worker.rs
@@ -4,93 +4,94 @@
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// A worker's heartbeat.
+/// A heartbeat of a worker, which reports the state of its machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Id of the machine.
     #[serde(rename = "horse")]
     pub machine: MachineId,
-    /// Where the worker listens.
+    /// Address on which the worker listens for direct commands.
     pub endpoint: String,
     /// Machine type.
     #[serde(rename = "rig")]
     pub flavor: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether it is a spot machine.
     #[serde(rename = "loaner")]
     pub spot: bool,
-    /// Session: rises when the worker's lease expires.
+    /// Session number of the worker, which increases each time its lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Rises with every heartbeat and every reply.
+    /// Sequence number, which increases with every heartbeat and every reply.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud reclaims the machine; `None` if it has not announced that.
     #[serde(rename = "recall_s", default)]
-    pub notice_s: Option<Amount>,
+    pub reclaim_in_s: Option<Amount>,
     /// All tasks on the machine.
     #[serde(rename = "legs")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// One task in a heartbeat.
+/// State of one task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// Id of the task.
     #[serde(rename = "leg")]
     pub task: TaskId,
-    /// Its attempt.
+    /// Id of the attempt.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Where it stands.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why the attempt exited; `None` before that.
     #[serde(default)]
     pub cause: Option<Cause>,
-    /// Progress was saved when it was stopped.
-    #[serde(default)]
-    pub stored: Option<bool>,
+    /// Whether its progress was saved when it was stopped; `None` if that is not
+    /// reported.
+    #[serde(rename = "stored", default)]
+    pub progress_saved: Option<bool>,
 }
 
-/// A task's state on its machine.
+/// State of a task attempt on its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// Waiting for its image.
+    /// Waiting for its image to be fetched.
     Fetching,
-    /// Waiting for the rest of its gang.
+    /// Waiting for the other tasks of its gang.
     Gathering,
     /// Running.
     Running,
-    /// Saving after a stop.
+    /// Saving its progress after a stop command.
     Saving,
-    /// Ended.
+    /// Ended; the worker keeps the entry until it is cleared.
     Exited,
 }
 
-/// Why a task exited.
+/// Why a task attempt exited.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Completed.
+    /// It completed.
     Done,
-    /// Stopped by command.
+    /// It was stopped by a command.
     Stopped,
-    /// Failed.
+    /// It failed.
     Error,
-    /// Not enough free room on the machine.
+    /// The machine had too few free resources.
     NoRoom,
-    /// Another attempt of the task is on the machine.
+    /// Another attempt of the task was on the machine.
     Busy,
-    /// No such job.
+    /// The job does not exist.
     NoSuch,
-    /// A cause this version does not know.
+    /// A cause that this release does not know.
     #[serde(other)]
     Other,
 }
@@ -99,68 +100,68 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Command {
-    /// Start a task. Only ever sent in the answer to a heartbeat.
+    /// Starts a task. Sent only in the response to a heartbeat.
     Launch {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "halt")]
     Stop {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time it may take to save.
+        /// Time within which the task may save its progress, in seconds.
         leeway_s: f64,
     },
-    /// Forget an exited task.
+    /// Removes an exited task from the worker.
     Clear {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "leg")]
         task: TaskId,
-        /// The attempt.
+        /// Id of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The fencing token under which the commands are given.
+    /// The fencing token under which the commands are issued.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The commands.
+    /// Commands to execute.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Where a worker should report instead.
+/// Response of a controller that does not lead the shard of the machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller, if known.
+    /// The controller to send heartbeats to; `None` if it is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<crate::ids::MemberId>,
 }
 
-/// Commands sent straight to a worker. They can be executed minutes late, so no launch
-/// is ever among them.
+/// Commands that are sent to a worker without waiting for its heartbeat. They may be executed
+/// minutes late, so they never include a launch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommand {
-    /// The fencing token.
+    /// The fencing token under which the commands are issued.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// The incarnation it is meant for.
+    /// The session of the worker that the commands are meant for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Stops and clears.
+    /// Commands to execute: stops and clears only.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/pulleywood-protocol/tests/outer_names.rs
+++ b/crates/pulleywood-protocol/tests/outer_names.rs
@@ -1,17 +1,18 @@
-//! `docs/outer-names.txt` lists every serde name of this crate's sources, the settings included.
+//! `docs/outer-names.txt` lists all names with which the types of this crate, settings
+//! included, are serialized.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use syn::{Attribute, Fields, Item, ItemEnum, LitStr};
 
-/// How the container renames its fields or variants.
+/// How a type renames its fields or variants.
 #[derive(Clone, Copy, PartialEq)]
 enum Case {
     AsWritten,
     Snake,
 }
 
-/// What the serde attributes of a type, field or variant say about its name.
+/// The serde attributes of a type, field or variant that determine its serialized name.
 struct SerdeAttributes {
     rename: Option<String>,
     case: Case,
@@ -21,7 +22,7 @@
 }
 
 impl SerdeAttributes {
-    /// Fails for an attribute that it does not know, which may change a name.
+    /// Panics on an unknown attribute, since it may change a name.
     fn read(attributes: &[Attribute]) -> SerdeAttributes {
         let mut found = SerdeAttributes {
             rename: None,
@@ -54,7 +55,7 @@
         found
     }
 
-    /// The name written out for an item that the source calls `name`.
+    /// The serialized name of a field or variant that the source calls `name`.
     fn outer_name(&self, name: &str, container: Case) -> String {
         match (&self.rename, container) {
             (Some(renamed), _) => renamed.clone(),
@@ -66,15 +67,16 @@
 
 fn snake_case(name: &str) -> String {
     let mut snake = String::new();
-    for c in name.chars() {
-        if c.is_ascii_uppercase() && !snake.is_empty() {
+    for character in name.chars() {
+        if character.is_ascii_uppercase() && !snake.is_empty() {
             snake.push('_');
         }
-        snake.push(c.to_ascii_lowercase());
+        snake.push(character.to_ascii_lowercase());
     }
     snake
 }
 
+/// Whether the type derives `Serialize` or `Deserialize`.
 fn is_serialized(attributes: &[Attribute]) -> bool {
     let derives = attributes.iter().filter(|a| a.path().is_ident("derive"));
     let mut found = false;
@@ -108,7 +110,7 @@
     }
 }
 
-/// The names that the serialized types of one source file are written with.
+/// The serialized names of the fields and variants of all types in a source file.
 fn outer_names(source: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for item in syn::parse_file(source).unwrap().items {
--- a/crates/pulleywood-protocol/tests/recorded_formats.rs
+++ b/crates/pulleywood-protocol/tests/recorded_formats.rs
@@ -1,8 +1,8 @@
-//! Bytes recorded from an earlier release: every message and every stored record
-//! is still read, and written again to the same bytes.
+//! Compatibility with bytes recorded from an earlier release: each message and each stored
+//! record is decoded and encoded to the same bytes.
 //!
-//! `formats/recorded.tsv` and `formats/accepted.tsv` are never regenerated. A new
-//! format or a new variant adds lines; no line is changed or removed.
+//! `formats/recorded.tsv` and `formats/accepted.tsv` are never regenerated. New formats and new
+//! variants add lines; no line is changed or removed.
 
 use pulleywood_protocol::cbor::{self, Amount, Value};
 use pulleywood_protocol::cloud::{
@@ -20,8 +20,8 @@
 };
 use pulleywood_protocol::settings::Settings;
 use pulleywood_protocol::store::{
-    Compare, Event, Events, Failed, Item, LeaseGranted, Page, StoreRevision, Transaction, Ttl,
-    Write,
+    Compare, Event, Events, Item, LeaseGranted, LeaseRequest, Page, StoreRevision, Transaction,
+    TransactionConflict, Write,
 };
 use pulleywood_protocol::worker::{
     Cause, Command, DirectCommand, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus,
@@ -37,20 +37,20 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// Decodes bytes as one format and encodes what was read.
+/// Decodes bytes as one format and encodes the result.
 type Reencode = fn(&[u8]) -> Result<Vec<u8>, Error>;
 
-/// A message body over HTTP: CBOR.
+/// For bodies of HTTP messages, which are CBOR.
 fn message<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     Ok(cbor::encode(&cbor::decode::<T>(bytes)?))
 }
 
-/// A message between controllers: MessagePack, structs as arrays.
+/// For messages between controllers, which are MessagePack with structs as arrays.
 fn peer<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     Ok(rmp_serde::to_vec(&rmp_serde::from_slice::<T>(bytes)?)?)
 }
 
-/// A value of the state service.
+/// For values of the state service.
 fn stored<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Result<Vec<u8>, Error> {
     let value: Value = cbor::decode(bytes)?;
     let record: T = cbor::from_value(&value)?;
@@ -67,17 +67,17 @@
     Ok(cbor::encode(&cbor::to_value(&record)))
 }
 
-/// Rows of a format's name, how it is coded, and its type.
+/// Builds the table of formats from rows of a format name, an encoding and a type.
 macro_rules! formats {
-    ($($name:literal $code:ident $kind:ident,)*) => {
-        &[$(($name, stringify!($kind), formats!(@ $code $kind)),)*]
+    ($($name:literal $encoding:ident $kind:ident,)*) => {
+        &[$(($name, stringify!($kind), formats!(@ $encoding $kind)),)*]
     };
     (@ stored_machine_batch $kind:ident) => { stored_machine_batch };
     (@ stored_job_batch $kind:ident) => { stored_job_batch };
-    (@ $code:ident $kind:ident) => { $code::<$kind> };
+    (@ $encoding:ident $kind:ident) => { $encoding::<$kind> };
 }
 
-/// Format, Rust type, decoder and encoder.
+/// Name, Rust type and re-encoding function of each format.
 const FORMATS: &[(&str, &str, Reencode)] = formats! {
     "user/submission" message JobSpec,
     "user/shape" message Shape,
@@ -104,9 +104,9 @@
     "store/compare" message Compare,
     "store/write" message Write,
     "store/transaction" message Transaction,
-    "store/refused" message Failed,
+    "store/refused" message TransactionConflict,
     "store/revision" message StoreRevision,
-    "store/lease_request" message Ttl,
+    "store/lease_request" message LeaseRequest,
     "store/lease_granted" message LeaseGranted,
     "store/event" message Event,
     "store/events" message Events,
@@ -159,11 +159,11 @@
 
 fn reencode(format: &str) -> Reencode {
     let row = FORMATS.iter().find(|(name, ..)| *name == format);
-    row.unwrap_or_else(|| panic!("{format} is recorded, and not in the table"))
+    row.unwrap_or_else(|| panic!("format {format} is recorded but missing in FORMATS"))
         .2
 }
 
-/// Rows of a recorded file: format, case and byte strings.
+/// Rows of a recorded file, which consist of a format, a case and byte strings in hex.
 fn rows(file: &str) -> Vec<Vec<String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/formats")
@@ -187,10 +187,10 @@
 }
 
 #[test]
-fn every_recorded_value_is_read_and_written_to_the_same_bytes() {
+fn every_recorded_value_is_decoded_and_encoded_to_the_same_bytes() {
     for row in rows("recorded.tsv") {
         let [format, case, recorded] = &row[..] else {
-            panic!("{row:?}")
+            panic!("malformed row {row:?}")
         };
         match reencode(format)(&bytes(recorded)) {
             Ok(again) => assert_eq!(hex(&again), *recorded, "{format} {case}"),
@@ -200,10 +200,10 @@
 }
 
 #[test]
-fn what_other_releases_and_peers_may_write_is_read_as_recorded() {
+fn bytes_that_other_releases_may_write_are_decoded_as_recorded() {
     for row in rows("accepted.tsv") {
         let [format, case, accepted, expected] = &row[..] else {
-            panic!("{row:?}")
+            panic!("malformed row {row:?}")
         };
         match reencode(format)(&bytes(accepted)) {
             Ok(again) => assert_eq!(hex(&again), *expected, "{format} {case}"),
@@ -219,11 +219,14 @@
         .map(|row| row[0].clone())
         .collect();
     for (format, ..) in FORMATS {
-        assert!(recorded.contains(*format), "{format} has no recorded bytes");
+        assert!(
+            recorded.contains(*format),
+            "format {format} has no recorded bytes"
+        );
     }
 }
 
-/// Source files of this crate.
+/// All files in a folder and its subfolders.
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder)
         .unwrap()
@@ -239,13 +242,13 @@
         .collect()
 }
 
-/// Public types of a source file that serde reads or writes, each with its number
-/// of variants if it is an enum.
+/// The public types of a source file that serde serializes or deserializes, with the number of
+/// variants of enums.
 fn serialized_types(text: &str) -> Vec<(String, Option<usize>)> {
     let mut found = Vec::new();
     let mut derives = String::new();
     let lines: Vec<&str> = text.lines().collect();
-    for (at, line) in lines.iter().enumerate() {
+    for (line_index, line) in lines.iter().enumerate() {
         let words: Vec<&str> = line
             .split(|c: char| !c.is_alphanumeric() && c != '_')
             .filter(|word| !word.is_empty())
@@ -260,7 +263,9 @@
                 found.push((name.to_owned(), None))
             }
             ["pub", "enum", name, ..] if derives.contains("ialize") => {
-                let body = lines[at + 1..].iter().take_while(|line| **line != "}");
+                let body = lines[line_index + 1..]
+                    .iter()
+                    .take_while(|line| **line != "}");
                 let variants = body.filter(|line| {
                     line.starts_with("    ") && line.as_bytes()[4].is_ascii_uppercase()
                 });
@@ -277,7 +282,7 @@
         {
             found.push((name.trim_end_matches([' ', '{']).to_owned(), None));
         }
-        // A type declared by a macro of this file: its name stands alone.
+        // A type that is declared by a macro of this file has its name alone on a line.
         if line.starts_with("    ")
             && line.len() > 4
             && line[4..].chars().all(char::is_alphanumeric)
@@ -290,7 +295,7 @@
 }
 
 #[test]
-fn every_type_that_crosses_a_process_is_in_the_table_with_all_its_variants() {
+fn every_serialized_type_is_recorded_with_all_its_variants() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let recorded = rows("recorded.tsv");
     let mut checked = 0;
@@ -301,7 +306,7 @@
             let listed = row.is_some() || SETTINGS_SECTIONS.contains(&name.as_str());
             assert!(
                 listed,
-                "{name} of {} is in no recorded format",
+                "type {name} of {} is in no recorded format",
                 source.display()
             );
             checked += 1;
@@ -309,11 +314,11 @@
                 let cases = recorded.iter().filter(|case| case[0] == *format).count();
                 assert!(
                     cases >= variants,
-                    "{name} has {variants} variants, and {cases} are recorded"
+                    "enum {name} has {variants} variants, but only {cases} recorded cases"
                 );
             }
         }
     }
-    // The search itself finds what it should.
-    assert!(checked >= FORMATS.len(), "{checked} types found");
+    // Guards against a search that finds too few types.
+    assert!(checked >= FORMATS.len(), "only {checked} types found");
 }
--- a/crates/pulleywood-protocol/tests/records.rs
+++ b/crates/pulleywood-protocol/tests/records.rs
@@ -1,4 +1,5 @@
-//! Ids, done sets, task transfers, job and machine batches, and the size of stored values.
+//! Ids, sets of done tasks, task transfers, job and machine batches, and the size of stored
+//! values.
 
 use pulleywood_protocol::cbor::{self, Amount, Value};
 use pulleywood_protocol::job_batch::{JobBatchRecord, JobBatches};
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn attempts_are_unique_over_fencing_tokens_and_stay_below_2_to_53() {
+fn attempts_are_unique_across_fencing_tokens_and_below_2_to_the_53() {
     let cases = [
         (1, 0, true),
         (1, (1 << 21) - 1, true),
@@ -81,9 +82,9 @@
     for (fencing_token, counter, valid) in cases {
         let attempt = Attempt::from_parts(FencingToken(fencing_token), counter);
         assert_eq!(attempt.is_some(), valid, "{fencing_token} {counter}");
-        if let Some(a) = attempt {
-            assert!(a.0 < 1 << 53);
-            assert_eq!(a.fencing_token(), FencingToken(fencing_token));
+        if let Some(attempt) = attempt {
+            assert!(attempt.0 < 1 << 53);
+            assert_eq!(attempt.fencing_token(), FencingToken(fencing_token));
         }
     }
     assert_ne!(
@@ -104,24 +105,26 @@
         ("scattered", |i| i.wrapping_mul(2_654_435_761) >> 30 == 0),
     ];
     for limit_kb in [4.0, 8.0, 64.0] {
-        let size = chunk_tasks(limit_kb);
-        for tasks in [1, 63, 64, 65, size, size + 1, 100_000] {
+        let chunk_size = chunk_tasks(limit_kb);
+        for tasks in [1, 63, 64, 65, chunk_size, chunk_size + 1, 100_000] {
             for (name, pattern) in patterns {
                 let mut set = TaskSet::new();
-                (0..tasks).filter(|&i| pattern(i)).for_each(|i| {
-                    set.insert(i);
-                });
+                (0..tasks)
+                    .filter(|&index| pattern(index))
+                    .for_each(|index| {
+                        set.insert(index);
+                    });
                 let mut decoded = TaskSet::new();
-                for chunk in 0..tasks.div_ceil(size) {
-                    let done = set.chunk_text(chunk, size);
+                for chunk in 0..tasks.div_ceil(chunk_size) {
+                    let done = set.chunk_text(chunk, chunk_size);
                     assert!(
-                        decoded.add_chunk(&done, chunk, size, tasks),
+                        decoded.add_chunk(&done, chunk, chunk_size, tasks),
                         "{name} {tasks}"
                     );
                     let json = if chunk == 0 {
                         let record = JobRecord {
                             spec: spec(tasks),
-                            at_ms: 1_700_000_000_000,
+                            accepted_at_ms: 1_700_000_000_000,
                             shard: ShardId(1),
                             transferred: vec![],
                             done,
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn malformed_done_sets_are_rejected() {
+fn malformed_task_sets_are_rejected() {
     for text in ["x", "5-3", "1-", "9", "0-9", "=!", "-1"] {
         let mut set = TaskSet::new();
         assert!(!set.add_chunk(text, 0, 64, 8), "{text}");
@@ -152,23 +155,23 @@
 }
 
 #[test]
-fn every_task_belongs_to_exactly_one_shard_however_it_is_transferred() {
+fn every_task_belongs_to_exactly_one_shard_after_any_transfers() {
     let shards = [ShardId(0), ShardId(1), ShardId(2)];
     let mut record = JobRecord {
         spec: spec(10),
-        at_ms: 0,
+        accepted_at_ms: 0,
         shard: shards[0],
         transferred: vec![],
         done: String::new(),
     };
-    let set = |range: std::ops::Range<u32>| {
+    let task_set = |range: std::ops::Range<u32>| {
         let mut set = TaskSet::new();
-        range.for_each(|i| {
-            set.insert(i);
+        range.for_each(|index| {
+            set.insert(index);
         });
         set
     };
-    // (to, zone, tasks, then the shares' sizes)
+    // (destination shard, zone, tasks, number of tasks of each shard afterwards)
     let steps = [
         (1, None, 0..4, [6, 4, 0]),
         (2, Some("a"), 2..6, [4, 2, 4]),
@@ -176,26 +179,29 @@
         (0, None, 0..10, [10, 0, 0]),
     ];
     for (to, zone, tasks, sizes) in steps {
-        record.transfer_tasks(shards[to], zone, &set(tasks));
+        record.transfer_tasks(shards[to], zone, &task_set(tasks));
         let shares = shards.map(|shard| record.share(shard));
         assert_eq!(shares.clone().map(|s| s.len()), sizes);
-        for i in 0..10 {
-            let holders = shares.iter().filter(|share| share.contains(i)).count();
-            assert_eq!(holders, 1, "task {i}");
+        for task in 0..10 {
+            let owners = shares.iter().filter(|share| share.contains(task)).count();
+            assert_eq!(owners, 1, "task {task}");
         }
     }
     assert!(record.transferred.is_empty());
 }
 
 #[test]
-fn bodies_hold_exactly_one_item_and_integer_or_float_numbers() {
+fn bodies_are_exactly_one_item_and_amounts_may_be_integers_or_floats() {
     let valid = cbor::encode(&spec(3));
     assert!(cbor::decode::<JobSpec>(&valid).is_ok());
     let mut trailing = valid.clone();
     trailing.push(0);
     assert!(cbor::decode::<JobSpec>(&trailing).is_err());
-    for cut in [0, 1, valid.len() / 2, valid.len() - 1] {
-        assert!(cbor::decode::<JobSpec>(&valid[..cut]).is_err(), "{cut}");
+    for length in [0, 1, valid.len() / 2, valid.len() - 1] {
+        assert!(
+            cbor::decode::<JobSpec>(&valid[..length]).is_err(),
+            "{length}"
+        );
     }
     for (bytes, value) in [(&b"\x04"[..], 4.0), (b"\xf9\x44\x00", 4.0), (b"\x20", -1.0)] {
         assert_eq!(cbor::decode::<Amount>(bytes).unwrap(), Amount(value));
@@ -203,13 +209,13 @@
 }
 
 #[test]
-fn a_job_is_in_one_job_batch_until_it_is_taken_out() {
+fn a_job_is_in_one_job_batch_until_it_is_removed() {
     let record = |n: u64| {
         let mut spec = spec(2);
         spec.id = JobId::parse(&format!("j-{n}")).unwrap();
         JobRecord {
             spec,
-            at_ms: 0,
+            accepted_at_ms: 0,
             shard: ShardId(0),
             transferred: vec![],
             done: String::new(),
@@ -227,31 +233,31 @@
     let (new, left) = job_batches.put(7, Some(job_batch.clone()), Revision(10));
     assert_eq!((new.len(), left.len()), (0, 0));
     assert_eq!(job_batches.find(&id(2)), Some(7));
-    let out = std::collections::BTreeSet::from([id(1), id(3), id(9)]);
-    let (transaction, after) = job_batches.take_out(Transaction::default(), &out);
+    let leaving = std::collections::BTreeSet::from([id(1), id(3), id(9)]);
+    let (transaction, updates) = job_batches.remove_jobs(Transaction::default(), &leaving);
     assert!(transaction.is_compare_and_set());
     assert_eq!(
         transaction.writes.len(),
         1,
-        "one write for all jobs taken out"
+        "one write for all removed jobs"
     );
-    let (n, rest) = after.into_iter().next().unwrap();
-    let (_, left) = job_batches.put(n, rest, Revision(20));
+    let (number, remaining) = updates.into_iter().next().unwrap();
+    let (_, left) = job_batches.put(number, remaining, Revision(20));
     assert_eq!(left, [id(1), id(3)]);
     // An older change that arrives late restores no job.
     let (new, _) = job_batches.put(7, Some(job_batch.clone()), Revision(10));
     assert!(new.is_empty());
-    let (transaction, after) = job_batches.take_out(Transaction::default(), &[id(2)].into());
+    let (transaction, updates) = job_batches.remove_jobs(Transaction::default(), &[id(2)].into());
     assert_eq!(transaction.writes.len(), 1);
-    let (n, rest) = after.into_iter().next().unwrap();
+    let (number, remaining) = updates.into_iter().next().unwrap();
     assert!(
-        rest.is_none(),
-        "taking out the last job deletes the job batch"
+        remaining.is_none(),
+        "the removal of the last job deletes the job batch"
     );
-    job_batches.put(n, rest, Revision(30));
+    job_batches.put(number, remaining, Revision(30));
     let (new, _) = job_batches.put(7, Some(job_batch), Revision(20));
     assert!(new.is_empty());
-    job_batches.forget(30);
+    job_batches.forget_deleted(30);
     assert_eq!(job_batches.find(&id(2)), None);
 }
 
@@ -267,7 +273,7 @@
         zone: "some-zone-name".into(),
         spot: false,
         endpoint: "10.100.100.100:9000".into(),
-        retiring: false,
+        releasing: false,
         images: (0..images)
             .map(|n| (format!("image-{n:04}"), Amount(12.25)))
             .collect(),
@@ -287,9 +293,9 @@
                machine_batch: Option<MachineBatchRecord>,
                revision| {
         let changed = machine_batches.put(n, machine_batch, Revision(revision))?;
-        Some((changed.held.len(), changed.gone.len()))
+        Some((changed.present.len(), changed.removed.len()))
     };
-    // (machine batch, machines, revision, held and gone)
+    // (batch number, batch, revision, number of machines present and removed)
     let cases = [
         (1, Some(machine_batch(0..4, 0)), 10, Some((4, 0))),
         (1, Some(machine_batch(0..4, 0)), 10, None),
@@ -309,13 +315,13 @@
     assert_eq!(machine_batches.find(&machine(1)), Some(1));
     // New machines join the fullest machine batch that has room for them.
     machine_batches.put(3, Some(machine_batch(20..30, 0)), Revision(20));
-    for (room, expected) in [(1, Some(3)), (2, Some(3)), (3, Some(1)), (11, None)] {
-        let open = machine_batches.open(room, 12, |m| m.shard == ShardId(4));
-        assert_eq!(open.map(|(n, ..)| n), expected, "{room}");
+    for (added, expected) in [(1, Some(3)), (2, Some(3)), (3, Some(1)), (11, None)] {
+        let found = machine_batches.find_with_room(added, 12, |m| m.shard == ShardId(4));
+        assert_eq!(found.map(|(number, ..)| number), expected, "{added}");
     }
     assert!(
         machine_batches
-            .open(1, 12, |m| m.shard == ShardId(5))
+            .find_with_room(1, 12, |m| m.shard == ShardId(5))
             .is_none()
     );
     assert_eq!(machine_batches.find(&machine(0)), None);
@@ -324,7 +330,7 @@
 
 #[test]
 fn edits_of_one_machine_batch_are_one_write_within_the_value_limit() {
-    let limit = 8192;
+    let max_bytes = 8192;
     let mut machine_batches = MachineBatches::default();
     machine_batches.put(1, Some(machine_batch(0..18, 0)), Revision(5));
     machine_batches.put(2, Some(machine_batch(18..36, 0)), Revision(6));
@@ -338,22 +344,27 @@
         {
             edits.insert(id, (n >= removed).then_some(record));
         }
-        let (transaction, after) = machine_batches.change(Transaction::default(), &edits, limit);
+        let (transaction, updates) =
+            machine_batches.update_records(Transaction::default(), &edits, max_bytes);
         assert!(transaction.is_compare_and_set());
         let writes = usize::from(images > 0 || removed > 0);
-        let counts = (transaction.writes.len(), after.len());
+        let counts = (transaction.writes.len(), updates.len());
         assert_eq!(counts, (writes, writes), "{images}, {removed}");
         if writes == 0 {
             continue;
         }
         assert_eq!(transaction.compares[0].revision, Revision(5));
-        let (n, next) = &after[0];
-        assert_eq!(*n, 1);
+        let (number, next) = &updates[0];
+        assert_eq!(*number, 1);
         assert_eq!(next.is_none(), removed == 18);
         if let Some(next) = next {
             assert_eq!(next.machines.len(), 18 - removed);
-            assert!(next.bytes() <= limit, "{images} images: {}", next.bytes());
-            // The least recently used images are dropped.
+            assert!(
+                next.size_bytes() <= max_bytes,
+                "{images} images: {}",
+                next.size_bytes()
+            );
+            // The least recently used images are removed first.
             let last = next.machines[&machine(17)].images.last();
             let newest = images.checked_sub(1).map(|n| format!("image-{n:04}"));
             assert_eq!(last.map(|(name, _)| name.clone()), newest);
@@ -361,10 +372,10 @@
     }
 }
 
-/// A stored value with one more record, in a format of a later release.
-fn with_unreadable<T: serde::Serialize>(value: &T, list: &str, key: &str) -> Value {
-    let Value::Map(mut fields) = cbor::to_value(value) else {
-        panic!("a map");
+/// A stored batch with one more record, in a format that this release cannot decode.
+fn with_unreadable_record<T: serde::Serialize>(batch: &T, list: &str, key: &str) -> Value {
+    let Value::Map(mut fields) = cbor::to_value(batch) else {
+        panic!("batch is not a map");
     };
     let text = |text: &str| Value::Text(text.to_owned());
     let spec = vec![
@@ -378,7 +389,7 @@
     match &mut records.unwrap().1 {
         Value::Array(records) => records.push(unreadable),
         Value::Map(records) => records.push((text(key), unreadable)),
-        _ => panic!("records"),
+        _ => panic!("records are neither an array nor a map"),
     }
     Value::Map(fields)
 }
@@ -388,30 +399,30 @@
     let job_batch = JobBatchRecord {
         jobs: vec![JobRecord {
             spec: spec(3),
-            at_ms: 0,
+            accepted_at_ms: 0,
             shard: ShardId(0),
             transferred: vec![],
             done: String::new(),
         }],
         ..Default::default()
     };
-    let stored = with_unreadable(&job_batch, "jobs", "");
+    let stored = with_unreadable_record(&job_batch, "jobs", "");
     let read = JobBatchRecord::from_value(&stored).unwrap();
     assert_eq!(read.jobs, job_batch.jobs);
     let ids: Vec<JobId> = read.unreadable_ids().collect();
     assert_eq!(ids, [JobId::parse("j-77").unwrap()]);
     assert_eq!(cbor::to_value(&read), stored);
-    // When the last readable job is taken out, the unreadable record stays stored.
+    // When the last readable job is removed, the unreadable record stays stored.
     let mut job_batches = JobBatches::default();
     job_batches.put(1, Some(read), Revision(5));
     let leaving = BTreeSet::from([job_batch.jobs[0].spec.id.clone()]);
-    let (transaction, left) = job_batches.take_out(Transaction::default(), &leaving);
-    assert!(left[0].1.as_ref().is_some_and(|p| !p.is_empty()));
+    let (transaction, updates) = job_batches.remove_jobs(Transaction::default(), &leaving);
+    assert!(updates[0].1.as_ref().is_some_and(|batch| !batch.is_empty()));
     assert_eq!(transaction.writes.len(), 1);
     assert!(matches!(transaction.writes[0], Write::Put { .. }));
 
     let machines = machine_batch(0..3, 0);
-    let stored = with_unreadable(&machines, "machines", "vm-9");
+    let stored = with_unreadable_record(&machines, "machines", "vm-9");
     let read = MachineBatchRecord::from_value(&stored).unwrap();
     assert_eq!(read.machines, machines.machines);
     assert_eq!(read.unreadable.len(), 1);
@@ -419,13 +430,13 @@
     assert_eq!(again, read);
     let mut machine_batches = MachineBatches::default();
     machine_batches.put(1, Some(read), Revision(5));
-    let gone: BTreeMap<MachineId, Option<MachineRecord>> = machines
+    let deletions: BTreeMap<MachineId, Option<MachineRecord>> = machines
         .machines
         .keys()
         .map(|id| (id.clone(), None))
         .collect();
-    let (_, left) = machine_batches.change(Transaction::default(), &gone, 8192);
-    assert!(left[0].1.as_ref().is_some_and(|r| !r.is_empty()));
+    let (_, updates) = machine_batches.update_records(Transaction::default(), &deletions, 8192);
+    assert!(updates[0].1.as_ref().is_some_and(|batch| !batch.is_empty()));
 
     for invalid in [Value::Null, Value::Text("x".into()), Value::Array(vec![])] {
         assert!(JobBatchRecord::from_value(&invalid).is_err());
--- a/crates/pulleywood-recovery/src/evidence.rs
+++ b/crates/pulleywood-recovery/src/evidence.rs
@@ -5,8 +5,8 @@
 use pulleywood_protocol::job_batch::JobBatchRecord;
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
 use pulleywood_protocol::record::{
-    CLOSED, ChunkRecord, FencingTokenCounter, JobRecord, Key, Layout, LeaseHolder, MachineRecord,
-    PreviousLeaseHolder, TaskSet, closed_job,
+    ChunkRecord, FINAL_STATE_PREFIX, FencingTokenCounter, JobRecord, Key, Layout, LeaseHolder,
+    MachineRecord, PreviousLeaseHolder, TaskSet, job_of_final_key,
 };
 use pulleywood_protocol::store::Item;
 use pulleywood_protocol::worker::Heartbeat;
@@ -132,8 +132,8 @@
             match Key::parse(&item.path) {
                 Some(Key::Job(_, id, index)) if index > 0 => chunks.push((id, index, item)),
                 Some(key) => state.add_record(key, item, chunk_size),
-                None if item.path.starts_with(CLOSED) => {
-                    state.closed_jobs.extend(closed_job(&item.path))
+                None if item.path.starts_with(FINAL_STATE_PREFIX) => {
+                    state.closed_jobs.extend(job_of_final_key(&item.path))
                 }
                 // A later release may write keys that this one does not know.
                 None => state.add_unreadable(item, BlockedScope::WholeValue),
--- a/crates/pulleywood-recovery/src/reconcile.rs
+++ b/crates/pulleywood-recovery/src/reconcile.rs
@@ -164,7 +164,7 @@
     let recorded = job.done.contains(status.task.index);
     if status.state == TaskState::Exited {
         // Replicas of services that exit are launched again, so they are never done.
-        let done = status.cause == Some(Cause::Done) && job.spec.shape.completes();
+        let done = status.cause == Some(Cause::Done) && job.spec.shape.runs_to_completion();
         return match (done, recorded) {
             (true, false) => TaskClass::DoneNotCommitted,
             (true, true) => TaskClass::DoneCommitted,
--- a/crates/pulleywood-recovery/src/report.rs
+++ b/crates/pulleywood-recovery/src/report.rs
@@ -271,7 +271,7 @@
             fencing_token: record
                 .and_then(StoredShard::latest_leader)
                 .map(|leader| leader.fencing_token),
-            reconciled: previous_leader.is_none_or(|previous| previous.settled),
+            reconciled: previous_leader.is_none_or(|previous| previous.reconciled),
             machines: stored
                 .machines
                 .values()
--- a/crates/pulleywood-recovery/tests/common/mod.rs
+++ b/crates/pulleywood-recovery/tests/common/mod.rs
@@ -82,10 +82,10 @@
             fencing_token: CURRENT_FENCING_TOKEN,
         };
         items.push(item(shard_leader_key(shard), &holder));
-        let settled = true;
+        let reconciled = true;
         items.push(item(
             previous_leader_key(shard),
-            &PreviousLeaseHolder { holder, settled },
+            &PreviousLeaseHolder { holder, reconciled },
         ));
     }
     items
@@ -106,7 +106,7 @@
         attempt,
         state,
         cause: None,
-        stored: None,
+        progress_saved: None,
     }
 }
 
@@ -127,7 +127,7 @@
         incarnation: 1,
         seq: 1,
         fencing_token,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
--- a/crates/pulleywood-recovery/tests/reconcile.rs
+++ b/crates/pulleywood-recovery/tests/reconcile.rs
@@ -6,7 +6,7 @@
 use common::*;
 use pulleywood_protocol::cbor::{Amount, Value};
 use pulleywood_protocol::cloud::{Rental, RentalStatus};
-use pulleywood_protocol::record::{CLOSED, FinalRecord, Slots, TaskTransfer};
+use pulleywood_protocol::record::{FINAL_STATE_PREFIX, FinalRecord, Slots, TaskTransfer};
 use pulleywood_protocol::store::Item;
 use pulleywood_protocol::worker::{Cause, Heartbeat, TaskState, TaskStatus};
 use pulleywood_protocol::{Attempt, FencingToken, JobStatus, MachineId, Rank, Shape, ShardId};
@@ -234,7 +234,7 @@
         };
         scenario
             .items
-            .push(item(format!("{CLOSED}j-7"), &final_record));
+            .push(item(format!("{FINAL_STATE_PREFIX}j-7"), &final_record));
         scenario
             .items
             .push(item("c/job/0/j-6".into(), &"of a later release"));
--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -6,7 +6,7 @@
 use pulleywood_protocol::job::{JobSpec, Shape};
 use pulleywood_protocol::record::{Slots, chunk_tasks};
 use pulleywood_protocol::settings::{ServiceLevelObjective, Settings};
-use pulleywood_protocol::time::{secs, surely_past, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, remote_duration_upper_bound, secs};
 use pulleywood_protocol::{MachineId, ShardId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -226,7 +226,7 @@
     /// After this long without a heartbeat response, by this host's clock, a worker has
     /// surely killed its tasks.
     pub fn lease_surely_expired(&self) -> Duration {
-        surely_past(self.lease)
+        remote_duration_upper_bound(self.lease)
     }
 
     /// How long done tasks of an unfinished job gather before their record is written.
@@ -238,13 +238,14 @@
     /// workers. A cancellation that another controller accepts right after that contact
     /// is then still in time, since the worker's lease expires.
     pub fn answer_span(&self) -> Duration {
-        surely_within(self.cancel.saturating_sub(self.lease)).saturating_sub(RESPONSE_MARGIN)
+        remote_duration_lower_bound(self.cancel.saturating_sub(self.lease))
+            .saturating_sub(RESPONSE_MARGIN)
     }
 
     /// How long after a shard's failover a worker that sends heartbeats to the previous
     /// leader alone may still run tasks, unless that leader has confirmed its end.
     pub fn previous_leader_span(&self) -> Duration {
-        surely_past(self.answer_span() + self.lease)
+        remote_duration_upper_bound(self.answer_span() + self.lease)
     }
 
     /// Whether a machine type may run the job's tasks, in some zone.
@@ -263,7 +264,7 @@
     /// known of its type.
     pub fn may_run_on(&self, spec: &JobSpec, flavor: &str, zone: &str, spot: bool) -> bool {
         let fits = |f| self.flavor_fits(spec, f);
-        spec.allows_place(zone, spot) && self.flavors.get(flavor).is_none_or(fits)
+        spec.allows_placement(zone, spot) && self.flavors.get(flavor).is_none_or(fits)
     }
 
     /// How many of the objectives of its class a job of this age can still meet, and the
--- a/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
@@ -95,7 +95,7 @@
     mut left: u32,
     is_eligible: impl Fn(&Bin) -> bool,
 ) -> u32 {
-    if tasks.demand.work_s <= 0.0 {
+    if tasks.demand.remaining_work_s <= 0.0 {
         return left;
     }
     for bin in bins.iter_mut().filter(|b| is_eligible(b)) {
@@ -104,7 +104,7 @@
         }
         let flavor = config.flavors.get(&bin.kind.flavor);
         let boot_s = flavor.map_or(0.0, |f| f.boot_s.0);
-        let further_runs = boot_s / tasks.demand.work_s - 1.0;
+        let further_runs = boot_s / tasks.demand.remaining_work_s - 1.0;
         if further_runs <= 0.0 || !allows(tasks.demand, &bin.kind) {
             continue;
         }
--- a/crates/pulleywood-scheduler/src/fleet/bins.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bins.rs
@@ -81,7 +81,7 @@
             taken: 0,
             queued: 0.0,
             held: digest.map(held_by_rank).unwrap_or_default(),
-            pinned: digest.map_or(0.0, |m| m.pinned),
+            pinned: digest.map_or(0.0, |m| m.non_spot_share),
         }
     }
 
@@ -115,7 +115,7 @@
         };
         (rank, held)
     };
-    digest.held.iter().map(resources).collect()
+    digest.held_by_rank.iter().map(resources).collect()
 }
 
 /// Machines that count as capacity: up and in touch, or booting. Those being emptied
@@ -131,7 +131,7 @@
         let Some(flavor) = config.flavors.get(&record.flavor) else {
             continue;
         };
-        if record.retiring {
+        if record.releasing {
             continue;
         }
         let digest = digests.get(id).map(|(m, _)| *m);
--- a/crates/pulleywood-scheduler/src/fleet/demand.rs
+++ b/crates/pulleywood-scheduler/src/fleet/demand.rs
@@ -50,7 +50,7 @@
     waiting
         .iter()
         .filter(may_run)
-        .map(|d| f64::from(d.count) * d.work_s * share(d) / slot)
+        .map(|d| f64::from(d.count) * d.remaining_work_s * share(d) / slot)
         .sum()
 }
 
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -199,7 +199,7 @@
         left: u32,
     ) -> u32 {
         let left = bin_packing::fill(&mut self.bins, tasks, left, |b| {
-            tasks.may_use(b) && (b.may_serve(shard) || tasks.demand.free && !b.up)
+            tasks.may_use(b) && (b.may_serve(shard) || tasks.demand.any_shard && !b.up)
         });
         bin_packing::queue_short_tasks(self.config, &mut self.bins, tasks, left, |b| {
             tasks.may_use(b)
--- a/crates/pulleywood-scheduler/src/fleet/rebalance.rs
+++ b/crates/pulleywood-scheduler/src/fleet/rebalance.rs
@@ -44,7 +44,7 @@
                 && b.taken == 0
                 && b.idle
                 && tasks.may_use(b)
-                && (!tasks.demand.free || is_in_zone_of(self.config, shard, b))
+                && (!tasks.demand.any_shard || is_in_zone_of(self.config, shard, b))
                 && b.free.fits(&tasks.need)
                 && allows(tasks.demand, &b.kind)
                 && (b.machine.as_ref()).is_some_and(|m| !self.history.moved.contains_key(m))
@@ -60,7 +60,7 @@
         mut left: u32,
         free_in: fn(&Bin, Rank) -> ResourceVector,
     ) -> u32 {
-        if !tasks.demand.free || left == 0 {
+        if !tasks.demand.any_shard || left == 0 {
             return left;
         }
         for other in self.snapshot.shards.keys().filter(|p| **p != shard) {
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -76,7 +76,7 @@
     snapshot
         .records
         .iter()
-        .filter(|(_, record)| record.retiring)
+        .filter(|(_, record)| record.releasing)
         .map(|(id, _)| id.clone())
         .collect()
 }
@@ -103,8 +103,8 @@
         .values()
         .filter(|p| !p.rebuilding)
         .flat_map(|p| &p.machines)
-        .filter(|m| m.lost_s > long_s && snapshot.records.contains_key(&m.machine))
-        .map(|m| (m.lost_s, &m.machine))
+        .filter(|m| m.out_of_contact_s > long_s && snapshot.records.contains_key(&m.machine))
+        .map(|m| (m.out_of_contact_s, &m.machine))
         .collect();
     lost.sort_by(|a, b| b.0.total_cmp(&a.0));
     lost.truncate(snapshot.records.len() / REPLACED_ONE_IN + 1);
@@ -141,7 +141,7 @@
     let blocked = snapshot.shards.values().filter(|p| !p.demand.is_empty());
     blocked
         .flat_map(|p| &p.machines)
-        .filter(|m| m.unreported && m.lost_s > wait_s && is_worthwhile(&m.machine))
+        .filter(|m| m.unreported && m.out_of_contact_s > wait_s && is_worthwhile(&m.machine))
         .map(|m| m.machine.clone())
         .collect()
 }
--- a/crates/pulleywood-scheduler/src/fleet/scale_out.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_out.rs
@@ -58,7 +58,7 @@
             return;
         }
         let shards = self.snapshot.shards;
-        for demand in shards.values().flat_map(|p| &p.displaced) {
+        for demand in shards.values().flat_map(|p| &p.displaced_demand) {
             let tasks = self.pending(demand);
             if !tasks.avoid.is_empty() {
                 self.rent_other_types(&tasks);
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -12,7 +12,7 @@
     /// Whether a job's tasks may run here, whatever is free.
     pub(super) fn allows(&self, spec: &JobSpec) -> bool {
         self.launches_left > 0
-            && spec.allows_place(self.zone, self.spot)
+            && spec.allows_placement(self.zone, self.spot)
             && spec
                 .types
                 .as_ref()
--- a/crates/pulleywood-scheduler/src/shard/batch_builder.rs
+++ b/crates/pulleywood-scheduler/src/shard/batch_builder.rs
@@ -234,7 +234,7 @@
         if self.jobs.is_empty() {
             return None;
         }
-        let (transaction, job_batches) = job_batches.take_out(self.transaction, &self.leaving);
+        let (transaction, job_batches) = job_batches.remove_jobs(self.transaction, &self.leaving);
         Some(Batch {
             transaction,
             jobs: self.jobs,
--- a/crates/pulleywood-scheduler/src/shard/digest.rs
+++ b/crates/pulleywood-scheduler/src/shard/digest.rs
@@ -42,12 +42,12 @@
             shard: self.shard,
             rebuilding: self.rebuilding(),
             demand: waiting.demand,
-            displaced: self.displaced_demand(config),
+            displaced_demand: self.displaced_demand(config),
             reserve: self.reserve(),
             machines: self.machine_digests(now, config),
             used,
             wanted: waiting.wanted,
-            stuck: stuck.map(|(team, _)| team.to_owned()).collect(),
+            quota_blocked_teams: stuck.map(|(team, _)| team.to_owned()).collect(),
             running: self.all_running(),
         }
     }
@@ -267,11 +267,11 @@
         memory_gb: free.memory_gb,
         idle_s: idle_since.map_or(UNKNOWN_S, seconds_since),
         heartbeat_age_s: machine.answered.map_or(UNKNOWN_S, seconds_since),
-        lost_s: seconds_since(machine.lost_since),
+        out_of_contact_s: seconds_since(machine.lost_since),
         unreported: machine.unreported,
         quarantined: machine.quarantined || machine.taken_at.is_some(),
-        pinned: machine.pinned().share_of(&whole),
-        held: machine.held(),
+        non_spot_share: machine.pinned().share_of(&whole),
+        held_by_rank: machine.held(),
     }
 }
 
@@ -282,7 +282,8 @@
         return;
     };
     let (before, more) = (f64::from(same.count), f64::from(item.count));
-    same.work_s = (same.work_s * before + item.work_s * more) / (before + more);
+    same.remaining_work_s =
+        (same.remaining_work_s * before + item.remaining_work_s * more) / (before + more);
     same.count += item.count;
 }
 
@@ -291,7 +292,7 @@
     (a.cpus, a.gpus, a.memory_gb) == (b.cpus, b.gpus, b.memory_gb)
         && a.types == b.types
         && a.zones == b.zones
-        && (a.spot, a.rank, a.free) == (b.spot, b.rank, b.free)
+        && (a.spot, a.rank, a.any_shard) == (b.spot, b.rank, b.any_shard)
 }
 
 /// So many tasks of a job as a demand for machines in these zones, or in any if there
@@ -306,11 +307,11 @@
         zones,
         spot: spec.spot,
         rank: spec.rank,
-        work_s: match spec.shape {
+        remaining_work_s: match spec.shape {
             Shape::Array | Shape::Gang => spec.estimate_s.0,
             Shape::Service => 0.0,
         },
         count,
-        free: job.may_be_transferred(),
+        any_shard: job.may_be_transferred(),
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/heartbeat.rs
+++ b/crates/pulleywood-scheduler/src/shard/heartbeat.rs
@@ -103,7 +103,7 @@
     /// Notes when the cloud reclaims the machine, if it gave notice. Returns
     /// whether a notice was given or withdrawn.
     fn note_spot_notice(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> bool {
-        let reclaim_at = heartbeat.notice_s.map(|s| now + secs(s.0));
+        let reclaim_at = heartbeat.reclaim_in_s.map(|s| now + secs(s.0));
         let changed = reclaim_at.is_some() != self.taken_at.is_some();
         self.taken_at = reclaim_at;
         changed
--- a/crates/pulleywood-scheduler/src/shard/job.rs
+++ b/crates/pulleywood-scheduler/src/shard/job.rs
@@ -83,7 +83,7 @@
         let zones = ZoneBindings::of(record, shard);
         Job {
             spec: Arc::new(record.spec.clone()),
-            at_ms: record.at_ms,
+            at_ms: record.accepted_at_ms,
             revision,
             in_batch: false,
             chunk_revisions: BTreeMap::new(),
@@ -182,7 +182,7 @@
     /// A task exited as done. Returns whether that was not known before. Tasks of a
     /// service never are: a replica that ends by itself is started again.
     pub(super) fn mark_done(&mut self, index: u32, now: MonotonicTime) -> bool {
-        if !self.spec.shape.completes() || index >= self.spec.tasks {
+        if !self.spec.shape.runs_to_completion() || index >= self.spec.tasks {
             return false;
         }
         self.waiting.remove(index);
@@ -216,7 +216,7 @@
 
     /// Whether all its tasks are done, which ends it. A service never ends so.
     pub(super) fn is_complete(&self) -> bool {
-        self.spec.shape.completes() && self.done.len() >= self.spec.tasks
+        self.spec.shape.runs_to_completion() && self.done.len() >= self.spec.tasks
     }
 
     /// Whether some done task is not committed.
@@ -228,7 +228,7 @@
     pub fn record(&self, done: String) -> JobRecord {
         JobRecord {
             spec: (*self.spec).clone(),
-            at_ms: self.at_ms,
+            accepted_at_ms: self.at_ms,
             shard: self.submitting_shard,
             transferred: self.transferred.clone(),
             done,
--- a/crates/pulleywood-scheduler/src/shard/machine.rs
+++ b/crates/pulleywood-scheduler/src/shard/machine.rs
@@ -130,7 +130,7 @@
         let images = record.images.iter();
         Machine {
             images: images.map(|(n, gb)| (n.clone(), gb.0)).collect(),
-            leaving: record.retiring,
+            leaving: record.releasing,
             record,
             revision,
             confirmed: false,
@@ -160,7 +160,7 @@
         if self.record.fencing_token != record.fencing_token {
             self.confirmed = false;
         }
-        self.leaving = record.retiring;
+        self.leaving = record.releasing;
         self.record = record;
         self.revision = revision;
     }
--- a/crates/pulleywood-scheduler/src/shard/returning_machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/returning_machines.rs
@@ -59,7 +59,7 @@
     };
     machine.stays_in_use(now)
         && config.flavor_fits(spec, flavor)
-        && spec.allows_place(&record.zone, record.spot)
+        && spec.allows_placement(&record.zone, record.spot)
         && machine
             .free(ResourceVector::of_flavor(flavor))
             .fits(&ResourceVector::of_task(spec))
--- a/crates/pulleywood-scheduler/src/shard_selection.rs
+++ b/crates/pulleywood-scheduler/src/shard_selection.rs
@@ -147,7 +147,7 @@
 /// How many tasks of a job fit on a machine, counting what lower ranks hold.
 fn fitting_tasks(machine: &MachineDigest, spec: &JobSpec) -> u32 {
     let mut free = ResourceVector::free_on(machine);
-    for &(rank, cpus, gpus, memory_gb) in &machine.held {
+    for &(rank, cpus, gpus, memory_gb) in &machine.held_by_rank {
         if rank < spec.rank {
             free += ResourceVector {
                 cpus,
--- a/crates/pulleywood-scheduler/tests/common/mod.rs
+++ b/crates/pulleywood-scheduler/tests/common/mod.rs
@@ -138,7 +138,7 @@
             incarnation: 1,
             seq,
             fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks,
         }
     }
@@ -186,7 +186,7 @@
         attempt,
         state,
         cause: None,
-        stored: None,
+        progress_saved: None,
     }
 }
 
--- a/crates/pulleywood-scheduler/tests/fleet.rs
+++ b/crates/pulleywood-scheduler/tests/fleet.rs
@@ -26,9 +26,9 @@
         zones: vec![],
         spot,
         rank,
-        work_s: 60.0,
+        remaining_work_s: 60.0,
         count,
-        free: true,
+        any_shard: true,
     }
 }
 
@@ -88,11 +88,11 @@
             memory_gb: free.memory_gb,
             idle_s,
             heartbeat_age_s: 0.5,
-            lost_s: 0.5,
+            out_of_contact_s: 0.5,
             unreported: false,
             quarantined: false,
-            pinned: 0.0,
-            held: vec![(rank, 4.0 * held, held, 8.0 * held)],
+            non_spot_share: 0.0,
+            held_by_rank: vec![(rank, 4.0 * held, held, 8.0 * held)],
         };
         self.digest(shard).machines.push(digest);
     }
@@ -355,7 +355,7 @@
         }
         let shard = fleet.digest(A);
         for digest in shard.machines.iter_mut().take(bound) {
-            digest.pinned = 0.5;
+            digest.non_spot_share = 0.5;
         }
         let actions = fleet.decide(at(0.0));
         let given_back = actions.iter().filter(|a| matches!(a, Action::ScaleIn(..)));
@@ -403,7 +403,7 @@
         }
         let digests = &mut fleet.digest(A).machines;
         for m in digests.iter_mut().take(many) {
-            m.lost_s = lost_s;
+            m.out_of_contact_s = lost_s;
         }
         let mut released = 0;
         for s in 0..10 {
@@ -446,7 +446,7 @@
         for (shard, count) in [(A, unreported), (B, overdue)] {
             let shard = fleet.digest(shard);
             for m in shard.machines.iter_mut().take(count) {
-                m.lost_s = lost_s;
+                m.out_of_contact_s = lost_s;
                 m.unreported = shard.shard == A;
                 m.heartbeat_age_s = if m.unreported { -1.0 } else { 30.0 };
             }
@@ -507,7 +507,13 @@
         fleet.config.homes = homes.to_vec();
         fleet.machine(B, 1, 0.0, Rank::Idle, 5.0);
         let demand = demand(1, Rank::Standard, true);
-        fleet.needs(A, Demand { free, ..demand });
+        fleet.needs(
+            A,
+            Demand {
+                any_shard: free,
+                ..demand
+            },
+        );
         let actions = fleet.decide(at(100.0));
         let moved = actions.iter().filter(|a| matches!(a, Action::Move(..)));
         let transferred = actions.iter().filter(|a| matches!(a, Action::Transfer(..)));
@@ -581,7 +587,7 @@
         };
         fleet.machine(A, 0, 4.0, Rank::Urgent, -1.0);
         let shard = fleet.digest(A);
-        shard.displaced.push(small(4));
+        shard.displaced_demand.push(small(4));
         if waits {
             fleet.history.refused(&kind("a", true), at(1.0));
             fleet.history.refused(&kind("b", true), at(1.0));
@@ -611,7 +617,7 @@
             fleet.machine(A, n, 4.0, Rank::Standard, -1.0);
         }
         let mut demand = demand(waiting, Rank::Standard, true);
-        demand.work_s = work_s;
+        demand.remaining_work_s = work_s;
         fleet.needs(A, demand);
         assert_eq!(fleet.rented(at(0.0)), expected, "{work_s} {waiting}");
     }
--- a/crates/pulleywood-scheduler/tests/placement.rs
+++ b/crates/pulleywood-scheduler/tests/placement.rs
@@ -511,7 +511,7 @@
         // One more task fits, and the other team has none running.
         harness.submit(no_gpus(2, 5, 4.0), false);
         let mut later = job_record(spec(3, 5));
-        later.at_ms = 60_000;
+        later.accepted_at_ms = 60_000;
         harness
             .state
             .put_job(&later, Revision(2), false, at(60.0), &harness.config);
@@ -636,7 +636,7 @@
             ..spec(1, 1)
         };
         let record = JobRecord {
-            at_ms: at(0.0).0,
+            accepted_at_ms: at(0.0).0,
             ..job_record(urgent)
         };
         harness
--- a/crates/pulleywood-scheduler/tests/quota.rs
+++ b/crates/pulleywood-scheduler/tests/quota.rs
@@ -104,7 +104,7 @@
                 let need = Need {
                     used: of(&digest.used),
                     wanted: of(&digest.wanted),
-                    stuck: digest.stuck.contains("red"),
+                    stuck: digest.quota_blocked_teams.contains("red"),
                 };
                 needs.insert(*p, BTreeMap::from([("red".to_owned(), need)]));
             }
--- a/crates/pulleywood-scheduler/tests/shard/done_batches.rs
+++ b/crates/pulleywood-scheduler/tests/shard/done_batches.rs
@@ -83,7 +83,7 @@
             }
         });
         let mut heartbeat = harness.heartbeat(0, 2, tasks.collect());
-        heartbeat.notice_s = notice.then_some(pulleywood_protocol::cbor::Amount(20.0));
+        heartbeat.reclaim_in_s = notice.then_some(pulleywood_protocol::cbor::Amount(20.0));
         harness.heartbeat_and_answer(&heartbeat, 10.0);
         harness.state.tick(at(10.0), &harness.config);
         let batch = harness.batch(Revision(9), 10.0 + s);
--- a/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
+++ b/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
@@ -108,7 +108,7 @@
         1
     );
     let digest = harness.state.digest(at(15.5), &harness.config);
-    assert!(digest.machines[0].lost_s > 12.0);
+    assert!(digest.machines[0].out_of_contact_s > 12.0);
 }
 
 #[test]
--- a/crates/pulleywood-scheduler/tests/shard_selection.rs
+++ b/crates/pulleywood-scheduler/tests/shard_selection.rs
@@ -19,11 +19,11 @@
         memory_gb: free * 8.0,
         idle_s: -1.0,
         heartbeat_age_s: 0.5,
-        lost_s: 0.5,
+        out_of_contact_s: 0.5,
         unreported: false,
         quarantined: false,
-        pinned: 0.0,
-        held: vec![(Rank::Idle, idle * 4.0, idle, idle * 8.0)],
+        non_spot_share: 0.0,
+        held_by_rank: vec![(Rank::Idle, idle * 4.0, idle, idle * 8.0)],
     };
     let record = MachineRecord {
         fencing_token: FencingToken(1),
@@ -93,9 +93,9 @@
                     zones: vec![],
                     spot: true,
                     rank: Rank::Standard,
-                    work_s: 60.0,
+                    remaining_work_s: 60.0,
                     count: waiting,
-                    free: true,
+                    any_shard: true,
                 });
             }
             machines.insert(id, (record, Revision(1)));
--- a/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
@@ -96,7 +96,7 @@
                 let need = Need {
                     used: digest.used.get(team).copied().unwrap_or_default(),
                     wanted: digest.wanted.get(team).copied().unwrap_or_default(),
-                    stuck: digest.stuck.contains(team),
+                    stuck: digest.quota_blocked_teams.contains(team),
                 };
                 (team.clone(), need)
             });
--- a/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
@@ -55,7 +55,7 @@
         *self.sent.entry(shard).or_default() += shard_selection::size(&self.config, &spec);
         let mut record = JobRecord {
             spec,
-            at_ms: self.now.0,
+            accepted_at_ms: self.now.0,
             shard,
             transferred: Vec::new(),
             done: String::new(),
--- a/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
@@ -65,7 +65,7 @@
             attempt: t.attempt,
             state: t.state,
             cause: t.cause,
-            stored: None,
+            progress_saved: None,
         });
         Heartbeat {
             machine: id.clone(),
@@ -76,7 +76,7 @@
             incarnation: worker.incarnation,
             seq: worker.seq,
             fencing_token: worker.fencing_token,
-            notice_s: worker.notice.map(|at| Amount(at.since(now).as_secs_f64())),
+            reclaim_in_s: worker.notice.map(|at| Amount(at.since(now).as_secs_f64())),
             tasks: tasks.collect(),
         }
     }
--- a/crates/pulleywood-testkit/src/cloud.rs
+++ b/crates/pulleywood-testkit/src/cloud.rs
@@ -100,7 +100,7 @@
             return Response::cbor(200, &MachineNames { machines });
         }
         let available = self.capacity.saturating_sub(rented.machines.len());
-        let count = (rental_request.how_many as usize).min(available);
+        let count = (rental_request.count as usize).min(available);
         if count == 0 {
             return Response::cbor(503, &BTreeMap::from([("error", "no capacity")]));
         }
--- a/crates/pulleywood-testkit/src/samples.rs
+++ b/crates/pulleywood-testkit/src/samples.rs
@@ -87,7 +87,7 @@
 pub fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
-        at_ms: 0,
+        accepted_at_ms: 0,
         shard: ShardId(0),
         transferred: vec![],
         done: String::new(),
@@ -104,7 +104,7 @@
         zone: "a".into(),
         spot: false,
         endpoint: "10.0.0.1:1".into(),
-        retiring: false,
+        releasing: false,
         images: vec![],
     }
 }
--- a/crates/pulleywood-testkit/src/store/endpoint.rs
+++ b/crates/pulleywood-testkit/src/store/endpoint.rs
@@ -7,7 +7,7 @@
 use pulleywood_protocol::LeaseId;
 use pulleywood_protocol::cbor;
 use pulleywood_protocol::store::{
-    Event, Events, Item, LeaseGranted, Page, StoreRevision, Transaction, Ttl,
+    Event, Events, Item, LeaseGranted, LeaseRequest, Page, StoreRevision, Transaction,
 };
 use pulleywood_transport::server::{Handler, Request, Response};
 use std::collections::BTreeMap;
@@ -133,7 +133,7 @@
 }
 
 fn grant_lease(store: &mut Keys, body: &[u8]) -> Response {
-    let Ok(ttl) = cbor::decode::<Ttl>(body) else {
+    let Ok(ttl) = cbor::decode::<LeaseRequest>(body) else {
         return Response::status(400);
     };
     let ttl = Duration::from_millis(ttl.ttl_ms);
