--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -89,7 +89,7 @@
     ) -> MonotonicTime {
         match previous {
             None => now,
-            Some(previous) if previous.settled && previous.holder.member == self.name() => {
+            Some(previous) if previous.reconciled && previous.holder.member == self.name() => {
                 now + config.lease_surely_expired()
             }
             Some(_) => now + config.previous_leader_span(),
@@ -109,7 +109,7 @@
                 continue;
             };
             let record = PreviousLeaseHolder {
-                settled: true,
+                reconciled: true,
                 ..last
             };
             let transaction = Transaction::default()
@@ -139,7 +139,7 @@
     };
     let record = PreviousLeaseHolder {
         holder: holder.clone(),
-        settled: reconciled,
+        reconciled,
     };
     let vacant = Transaction::default().when(shard_leader_key(shard), Revision(0));
     next_counter
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -9,7 +9,7 @@
 use pulleywood_protocol::job_batch::JobBatches;
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
 use pulleywood_protocol::record::{JobRecord, Key, shard_leader_key};
-use pulleywood_protocol::time::{secs, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, secs};
 use pulleywood_protocol::worker::{Heartbeat, HeartbeatResponse};
 use pulleywood_protocol::{
     JobId, MachineId, MemberId, MonotonicTime, Revision, Shape, ShardId, cbor,
@@ -109,7 +109,7 @@
     }
 
     fn may_act(&self, now: MonotonicTime, config: &Config) -> bool {
-        let lease = surely_within(secs(config.policy.shard_lease_s));
+        let lease = remote_duration_lower_bound(secs(config.policy.shard_lease_s));
         self.up && now < self.contact + lease
     }
 
--- a/crates/pulleywood-testkit/src/virtual_cluster/worker.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/worker.rs
@@ -214,7 +214,7 @@
                 (None, false) => TaskState::Fetching,
             },
             cause: t.exit,
-            stored: None,
+            progress_saved: None,
         });
         Heartbeat {
             machine: self.id.clone(),
@@ -225,7 +225,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: tasks.collect(),
         }
     }
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -247,7 +247,7 @@
                 None => TaskState::Running,
             },
             cause: t.exit,
-            stored: None,
+            progress_saved: None,
         });
         Heartbeat {
             machine: self.config.machine.clone(),
@@ -258,7 +258,7 @@
             incarnation: state.incarnation,
             seq: state.seq,
             fencing_token: state.fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: tasks.collect(),
         }
     }
--- a/crates/pulleywood-transport/src/store.rs
+++ b/crates/pulleywood-transport/src/store.rs
@@ -4,7 +4,7 @@
 use crate::client::{Answer, Client, Failure};
 use pulleywood_protocol::cbor;
 use pulleywood_protocol::store::{
-    Events, Failed, Item, LeaseGranted, Page, StoreRevision, Transaction, Ttl,
+    Events, Item, LeaseGranted, LeaseRequest, Page, StoreRevision, Transaction, TransactionConflict,
 };
 use pulleywood_protocol::{LeaseId, Revision};
 use serde::de::DeserializeOwned;
@@ -239,8 +239,8 @@
         match answer.status {
             200 => Ok(Ok(Revision(read::<StoreRevision>(&answer)?.store_revision))),
             // Whatever it says, nothing was applied.
-            409 => Ok(Err(cbor::decode::<Failed>(&answer.body)
-                .map(|f| f.failed)
+            409 => Ok(Err(cbor::decode::<TransactionConflict>(&answer.body)
+                .map(|f| f.conflicting_keys)
                 .unwrap_or_default())),
             400 if transaction.writes.iter().any(|c| {
                 matches!(
@@ -265,7 +265,7 @@
     /// [`StoreError`]: no tokens, refused, or no answer.
     pub fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         self.take(RequestPriority::Lease, 0)?;
-        let body = cbor::encode(&Ttl {
+        let body = cbor::encode(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         });
         let answer = self.send(&self.calls, "POST", "/grants", Some(&body), CALL_TIME)?;
