--- a/crates/pulleywood-protocol/src/job_batch.rs
+++ b/crates/pulleywood-protocol/src/job_batch.rs
@@ -92,8 +92,8 @@
 
 fn field<'a>(map: &'a Value, name: &str) -> Option<&'a Value> {
     let fields = map.as_map()?.iter();
-    let mut found = fields.filter(|(key, _)| key.as_text() == Some(name));
-    found.next().map(|(_, value)| value)
+    let mut matching = fields.filter(|(key, _)| key.as_text() == Some(name));
+    matching.next().map(|(_, value)| value)
 }
 
 /// Cached copy of all stored job batches.
--- a/crates/pulleywood-protocol/src/settings/check.rs
+++ b/crates/pulleywood-protocol/src/settings/check.rs
@@ -117,8 +117,8 @@
         ensure_address("cluster_listen", &self.cluster_listen)?;
         ensure_address("services.cloud", &self.services.cloud)?;
         ensure_address("services.state", &self.services.state)?;
-        for (i, seed) in self.seeds.iter().enumerate() {
-            ensure_address(&format!("seeds[{i}].endpoint"), &seed.endpoint)?;
+        for (index, seed) in self.seeds.iter().enumerate() {
+            ensure_address(&format!("seeds[{index}].endpoint"), &seed.endpoint)?;
         }
         Ok(())
     }
@@ -153,7 +153,7 @@
     }
 
     fn check_teams(&self) -> Check {
-        for (i, team) in self.teams.iter().enumerate() {
+        for (index, team) in self.teams.iter().enumerate() {
             let amounts = [
                 ("cpus", team.cpus),
                 ("cpus_max", team.cpus_max),
@@ -161,7 +161,7 @@
                 ("gpus_max", team.gpus_max),
             ];
             for (name, value) in amounts {
-                ensure_not_negative(&format!("cluster.teams[{i}].{name}"), value)?;
+                ensure_not_negative(&format!("cluster.teams[{index}].{name}"), value)?;
             }
         }
         Ok(())
--- a/crates/pulleywood-protocol/src/settings/connection_limits.rs
+++ b/crates/pulleywood-protocol/src/settings/connection_limits.rs
@@ -64,11 +64,11 @@
         ];
         // The first setting whose increase results in more threads.
         let threads = Self::new(settings).threads;
-        let found = fields.iter().find(|(_, raise_limit)| {
+        let limiting = fields.iter().find(|(_, raise_limit)| {
             raised.cluster.resources = settings.cluster.resources.clone();
             raise_limit(&mut raised.cluster.resources);
             Self::new(&raised).threads > threads
         });
-        Some(found.map_or("max_sockets", |(name, _)| name))
+        Some(limiting.map_or("max_sockets", |(name, _)| name))
     }
 }
--- a/crates/pulleywood-protocol/tests/outer_names.rs
+++ b/crates/pulleywood-protocol/tests/outer_names.rs
@@ -24,7 +24,7 @@
 impl SerdeAttributes {
     /// Panics on an unknown attribute, since it may change a name.
     fn read(attributes: &[Attribute]) -> SerdeAttributes {
-        let mut found = SerdeAttributes {
+        let mut serde_attributes = SerdeAttributes {
             rename: None,
             case: Case::AsWritten,
             tag: None,
@@ -39,11 +39,13 @@
                     Err(_) => None,
                 };
                 match (key.as_str(), value) {
-                    ("rename", Some(name)) => found.rename = Some(name),
-                    ("rename_all", Some(case)) if case == "snake_case" => found.case = Case::Snake,
-                    ("tag", Some(name)) => found.tag = Some(name),
-                    ("skip", None) => found.skipped = true,
-                    ("untagged", None) => found.untagged = true,
+                    ("rename", Some(name)) => serde_attributes.rename = Some(name),
+                    ("rename_all", Some(case)) if case == "snake_case" => {
+                        serde_attributes.case = Case::Snake
+                    }
+                    ("tag", Some(name)) => serde_attributes.tag = Some(name),
+                    ("skip", None) => serde_attributes.skipped = true,
+                    ("untagged", None) => serde_attributes.untagged = true,
                     ("default" | "skip_serializing_if" | "from" | "into" | "try_from", _)
                     | ("other" | "transparent", None) => {}
                     (key, _) => return Err(meta.error(format!("unknown serde attribute {key}"))),
@@ -52,7 +54,7 @@
             });
             parsed.unwrap();
         }
-        found
+        serde_attributes
     }
 
     /// The serialized name of a field or variant that the source calls `name`.
@@ -79,16 +81,16 @@
 /// Whether the type derives `Serialize` or `Deserialize`.
 fn is_serialized(attributes: &[Attribute]) -> bool {
     let derives = attributes.iter().filter(|a| a.path().is_ident("derive"));
-    let mut found = false;
+    let mut is_derived = false;
     for derive in derives {
         let parsed = derive.parse_nested_meta(|meta| {
             let name = &meta.path.segments.last().unwrap().ident;
-            found |= name == "Serialize" || name == "Deserialize";
+            is_derived |= name == "Serialize" || name == "Deserialize";
             Ok(())
         });
         parsed.unwrap();
     }
-    found
+    is_derived
 }
 
 fn field_names(fields: &Fields, container: Case, names: &mut BTreeSet<String>) {
@@ -148,10 +150,10 @@
     let listed: BTreeSet<&str> = list.lines().filter(|l| !l.starts_with('#')).collect();
     let mut files = Vec::new();
     source_files(&crate_folder.join("src"), &mut files);
-    let mut found = 0;
+    let mut name_count = 0;
     for file in files {
         for name in outer_names(&std::fs::read_to_string(&file).unwrap()) {
-            found += 1;
+            name_count += 1;
             let is_listed = listed.contains(name.as_str());
             assert!(
                 is_listed,
@@ -160,7 +162,7 @@
             );
         }
     }
-    assert!(found > 200, "only {found} names found");
+    assert!(name_count > 200, "only {name_count} names found");
 }
 
 #[test]
--- a/crates/pulleywood-protocol/tests/recorded_formats.rs
+++ b/crates/pulleywood-protocol/tests/recorded_formats.rs
@@ -245,7 +245,7 @@
 /// The public types of a source file that serde serializes or deserializes, with the number of
 /// variants of enums.
 fn serialized_types(text: &str) -> Vec<(String, Option<usize>)> {
-    let mut found = Vec::new();
+    let mut types = Vec::new();
     let mut derives = String::new();
     let lines: Vec<&str> = text.lines().collect();
     for (line_index, line) in lines.iter().enumerate() {
@@ -260,7 +260,7 @@
         }
         match words[..] {
             ["pub", "struct", name, ..] if derives.contains("ialize") => {
-                found.push((name.to_owned(), None))
+                types.push((name.to_owned(), None))
             }
             ["pub", "enum", name, ..] if derives.contains("ialize") => {
                 let body = lines[line_index + 1..]
@@ -269,7 +269,7 @@
                 let variants = body.filter(|line| {
                     line.starts_with("    ") && line.as_bytes()[4].is_ascii_uppercase()
                 });
-                found.push((name.to_owned(), Some(variants.count())));
+                types.push((name.to_owned(), Some(variants.count())));
             }
             _ => {}
         }
@@ -280,7 +280,7 @@
             && line.contains("ialize")
             && let Some((_, name)) = line.split_once(" for ")
         {
-            found.push((name.trim_end_matches([' ', '{']).to_owned(), None));
+            types.push((name.trim_end_matches([' ', '{']).to_owned(), None));
         }
         // A type that is declared by a macro of this file has its name alone on a line.
         if line.starts_with("    ")
@@ -288,10 +288,10 @@
             && line[4..].chars().all(char::is_alphanumeric)
             && line.as_bytes()[4].is_ascii_uppercase()
         {
-            found.push((line.trim().to_owned(), None));
+            types.push((line.trim().to_owned(), None));
         }
     }
-    found
+    types
 }
 
 #[test]
--- a/crates/pulleywood-protocol/tests/records.rs
+++ b/crates/pulleywood-protocol/tests/records.rs
@@ -261,8 +261,8 @@
     assert_eq!(job_batches.find(&id(2)), None);
 }
 
-fn machine(n: usize) -> MachineId {
-    MachineId::from(format!("vm-{n:06}").as_str())
+fn machine(number: usize) -> MachineId {
+    MachineId::from(format!("vm-{number:06}").as_str())
 }
 
 fn machine_batch(machines: std::ops::Range<usize>, images: usize) -> MachineBatchRecord {
@@ -305,9 +305,9 @@
         (2, None, 14, Some((0, 2))),
         (2, Some(machine_batch(7..9, 0)), 13, None),
     ];
-    for (step, (n, record, revision, expected)) in cases.into_iter().enumerate() {
+    for (step, (number, record, revision, expected)) in cases.into_iter().enumerate() {
         assert_eq!(
-            put(&mut machine_batches, n, record, revision),
+            put(&mut machine_batches, number, record, revision),
             expected,
             "step {step}"
         );
@@ -337,12 +337,12 @@
     // (images of each machine after the edit, machines removed)
     for (images, removed) in [(0, 0), (5, 1), (60, 0), (60, 17), (3, 18)] {
         let mut edits = std::collections::BTreeMap::new();
-        for (n, (id, record)) in machine_batch(0..18, images)
+        for (position, (id, record)) in machine_batch(0..18, images)
             .machines
             .into_iter()
             .enumerate()
         {
-            edits.insert(id, (n >= removed).then_some(record));
+            edits.insert(id, (position >= removed).then_some(record));
         }
         let (transaction, updates) =
             machine_batches.update_records(Transaction::default(), &edits, max_bytes);
--- a/crates/pulleywood-recovery/src/machine_class.rs
+++ b/crates/pulleywood-recovery/src/machine_class.rs
@@ -11,7 +11,8 @@
 #[serde(rename_all = "snake_case")]
 pub enum MachineClass {
     /// Has a record, and its heartbeat is known to be current.
-    Known,
+    #[serde(rename = "known")]
+    Confirmed,
     /// Has a record, but its heartbeat may be a delayed copy: its worker has not seen the
     /// current fencing token of its shard.
     #[serde(rename = "earlier_term")]
@@ -77,7 +78,8 @@
     /// The action that follows.
     pub action: MachineAction,
     /// Reason for the class, as text for operators.
-    pub evidence: String,
+    #[serde(rename = "evidence")]
+    pub reason: String,
 }
 
 /// Classifies one machine that has a record, sent a heartbeat or is listed by the cloud.
@@ -126,7 +128,7 @@
         shard: record.map(|r| r.shard),
         class,
         action,
-        evidence: reason,
+        reason,
     }
 }
 
@@ -152,7 +154,7 @@
         heartbeat.fencing_token
     );
     if received.is_current {
-        (MachineClass::Known, MachineAction::Keep, summary)
+        (MachineClass::Confirmed, MachineAction::Keep, summary)
     } else {
         (
             MachineClass::EarlierFencingToken,
--- a/crates/pulleywood-recovery/src/progress.rs
+++ b/crates/pulleywood-recovery/src/progress.rs
@@ -91,23 +91,23 @@
         phase: Phase,
         now: MonotonicTime,
     ) -> Option<PhaseTransition> {
-        let known = self
+        let current = self
             .shards
             .get(&shard)
             .filter(|progress| progress.fencing_token == fencing_token);
         // Launches and stops after completion are normal operation, not recovery.
-        if known
+        if current
             .is_some_and(|progress| progress.phase == phase || progress.phase == Phase::Complete)
         {
             return None;
         }
-        let acquired_at = known.map_or(now, |progress| progress.acquired_at);
+        let acquired_at = current.map_or(now, |progress| progress.acquired_at);
         let transition = PhaseTransition {
             shard,
             fencing_token,
-            from: known.map(|progress| progress.phase),
+            from: current.map(|progress| progress.phase),
             to: phase,
-            previous_duration: known
+            previous_duration: current
                 .map_or(Duration::ZERO, |progress| now.since(progress.phase_began)),
             since_acquired: now.since(acquired_at),
         };
--- a/crates/pulleywood-recovery/src/reconcile.rs
+++ b/crates/pulleywood-recovery/src/reconcile.rs
@@ -80,15 +80,15 @@
         reconciliation.jobs.insert(id.clone(), sets);
     }
     for (id, received) in evidence.heartbeats {
-        let is_known = machines
+        let is_confirmed = machines
             .get(id)
-            .is_some_and(|m| m.class == MachineClass::Known);
+            .is_some_and(|m| m.class == MachineClass::Confirmed);
         let mut listed = BTreeSet::new();
         for task in &received.heartbeat.tasks {
             let is_first = listed.insert((&task.task, task.attempt));
             let class = if !is_first {
                 TaskClass::Impossible
-            } else if !is_known {
+            } else if !is_confirmed {
                 TaskClass::Unproven
             } else {
                 classify_task(id, received, task, evidence, &newest_attempts)
@@ -129,8 +129,8 @@
     let current = evidence.heartbeats.values().filter(|h| h.is_current);
     for task in current.flat_map(|h| &h.heartbeat.tasks) {
         if task.state != TaskState::Exited {
-            let known = newest.entry(&task.task).or_insert(task.attempt);
-            *known = (*known).max(task.attempt);
+            let newest_attempt = newest.entry(&task.task).or_insert(task.attempt);
+            *newest_attempt = (*newest_attempt).max(task.attempt);
         }
     }
     newest
@@ -153,7 +153,7 @@
     }
     let Some(job) = stored.jobs.get(id) else {
         return if stored.closed_jobs.contains(id) {
-            TaskClass::JobOver
+            TaskClass::JobEnded
         } else {
             TaskClass::JobUnknown
         };
@@ -202,7 +202,7 @@
         shard: evidence.stored.machines.get(machine).map(|m| m.shard),
         class,
         action: class.action(has_exited),
-        evidence: format!(
+        reason: format!(
             "reported as {state}, attempt issued under fencing token {}",
             status.attempt.fencing_token()
         ),
@@ -245,9 +245,9 @@
             sets.blocked -= &sets.running;
             sets.blocked -= &sets.uncommitted;
             for (shard, share) in &job.shares {
-                let mut rest = share - &sets.done;
+                let mut unassigned = share - &sets.done;
                 for set in [&sets.uncommitted, &sets.running, &sets.blocked] {
-                    rest -= set;
+                    unassigned -= set;
                 }
                 let may_run = |kind: &UnreportedMachineKind<'_>| {
                     let config = evidence.config;
@@ -255,9 +255,9 @@
                         && config.may_run_on(&job.spec, kind.flavor, kind.zone, kind.spot)
                 };
                 if unknown_machines || unreported_kinds.iter().any(may_run) {
-                    sets.unreported |= rest
+                    sets.unreported |= unassigned
                 } else {
-                    sets.missing |= rest
+                    sets.missing |= unassigned
                 }
             }
         }
--- a/crates/pulleywood-recovery/src/report.rs
+++ b/crates/pulleywood-recovery/src/report.rs
@@ -238,7 +238,7 @@
             writeln!(
                 out,
                 "machine {}: {class} -> {action}: {}",
-                finding.machine, finding.evidence
+                finding.machine, finding.reason
             )?;
         }
         for finding in self.task_findings.iter().take(MAX_LISTED) {
@@ -247,7 +247,7 @@
             writeln!(
                 out,
                 "task {task} on {machine}: {class} -> {action}: {}",
-                finding.evidence
+                finding.reason
             )?;
         }
         let omitted = self.machine_findings.len().saturating_sub(MAX_LISTED)
--- a/crates/pulleywood-recovery/src/task_class.rs
+++ b/crates/pulleywood-recovery/src/task_class.rs
@@ -26,14 +26,16 @@
     /// Ended without completing.
     Ended,
     /// Its job has ended: the final state is stored.
-    JobOver,
+    #[serde(rename = "job_over")]
+    JobEnded,
     /// Its job has neither a live record nor a final state.
     JobUnknown,
     /// Its job has a record that cannot be decoded.
     JobUnreadable,
     /// The task index or the attempt cannot exist, or the heartbeat lists the attempt twice.
     Impossible,
-    /// The heartbeat may be a delayed copy, or its machine is not of class `Known`.
+    /// The heartbeat may be a delayed copy, or its machine is not of class
+    /// [`Confirmed`](crate::machine_class::MachineClass::Confirmed).
     Unproven,
 }
 
@@ -74,7 +76,8 @@
     /// The action that follows.
     pub action: TaskAction,
     /// Reason for the class, as text for operators.
-    pub evidence: String,
+    #[serde(rename = "evidence")]
+    pub reason: String,
 }
 
 impl TaskClass {
--- a/crates/pulleywood-recovery/tests/audit.rs
+++ b/crates/pulleywood-recovery/tests/audit.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Audits until the whole store has been compared twice. Returns the discrepancies found and
+/// Audits until the whole store has been compared twice. Returns the discrepancies discrepancies and
 /// the number of slices read. `after_read` runs after each read for which the cached state is
 /// up to date.
 fn audit_twice(
@@ -79,7 +79,7 @@
     after_read: fn(&mut LeaderState),
 ) -> (Vec<Discrepancy>, u64) {
     let mut audit = Audit::default();
-    let mut found = Vec::new();
+    let mut discrepancies = Vec::new();
     for _ in 0..1000 {
         if audit.counts().passes == 2 {
             break;
@@ -92,21 +92,21 @@
         };
         let (items, more) = store.slice(next.prefix, &next.after, limit);
         let findings = audit.compare_slice(&items, more, store.revision, state);
-        found.extend(findings.into_iter().map(|f| f.discrepancy));
+        discrepancies.extend(findings.into_iter().map(|f| f.discrepancy));
         if state.revision >= store.revision {
             after_read(state);
         }
     }
     assert_eq!(audit.counts().passes, 2);
-    found.sort();
-    found.dedup();
-    (found, audit.counts().slices)
+    discrepancies.sort();
+    discrepancies.dedup();
+    (discrepancies, audit.counts().slices)
 }
 
 fn store() -> Store {
     let mut items = base_items();
-    for n in 1..=40 {
-        items.push(job_item(&job_record(spec(n, 2))));
+    for number in 1..=40 {
+        items.push(job_item(&job_record(spec(number, 2))));
     }
     let batch = JobBatchRecord {
         jobs: (50..60).map(|n| job_record(spec(n, 1))).collect(),
@@ -141,8 +141,8 @@
 #[test]
 fn a_complete_state_has_no_findings_at_any_slice_size() {
     for limit in [1, 3, 7, 1000] {
-        let (found, slices) = audit_twice(&store(), &mut complete_state(), limit, |_| {});
-        assert_eq!(found, [], "{limit}");
+        let (discrepancies, slices) = audit_twice(&store(), &mut complete_state(), limit, |_| {});
+        assert_eq!(discrepancies, [], "{limit}");
         let per_pass: usize = [40_usize, 1, 10].iter().map(|n| n.div_ceil(limit)).sum();
         assert_eq!(slices, 2 * per_pass as u64, "{limit}");
     }
@@ -183,8 +183,8 @@
         for limit in [1, 4, 1000] {
             let mut state = complete_state();
             remove_record(&mut state);
-            let (found, _) = audit_twice(&store(), &mut state, limit, |_| {});
-            assert_eq!(found, expected, "{name}, {limit}");
+            let (discrepancies, _) = audit_twice(&store(), &mut state, limit, |_| {});
+            assert_eq!(discrepancies, expected, "{name}, {limit}");
         }
     }
 }
@@ -249,15 +249,15 @@
     let mut state = complete_state();
     state.cached_jobs.insert(job_id(90));
     state.cached_machines.insert(machine_id(90));
-    let (found, _) = audit_twice(&store, &mut state, 50, |_| {});
+    let (discrepancies, _) = audit_twice(&store, &mut state, 50, |_| {});
     assert_eq!(
-        found,
+        discrepancies,
         [
             Discrepancy::JobInUnknownShard(ShardId(7), job_id(90)),
             Discrepancy::MachineInUnknownShard(ShardId(7), machine_id(90)),
         ]
     );
-    assert!(found.iter().all(|f| !f.is_repairable()));
+    assert!(discrepancies.iter().all(|f| !f.is_repairable()));
 }
 
 #[test]
--- a/crates/pulleywood-recovery/tests/common/mod.rs
+++ b/crates/pulleywood-recovery/tests/common/mod.rs
@@ -25,16 +25,16 @@
     samples::config(SHARDS)
 }
 
-pub fn job_id(n: u64) -> JobId {
-    JobId::parse(&format!("j-{n}")).unwrap()
+pub fn job_id(number: u64) -> JobId {
+    JobId::parse(&format!("j-{number}")).unwrap()
 }
 
-pub fn machine_id(n: usize) -> MachineId {
-    MachineId::from(format!("vm-{n:06}").as_str())
+pub fn machine_id(number: usize) -> MachineId {
+    MachineId::from(format!("vm-{number:06}").as_str())
 }
 
-pub fn spec(n: u64, tasks: u32) -> JobSpec {
-    samples::spec(job_id(n), tasks)
+pub fn spec(job: u64, tasks: u32) -> JobSpec {
+    samples::spec(job_id(job), tasks)
 }
 
 pub fn machine(shard: u32) -> MachineRecord {
@@ -55,13 +55,13 @@
     item(job_key(id.shard(SHARDS), id), record)
 }
 
-pub fn machine_batch_item(n: u64, machines: &[(usize, MachineRecord)]) -> Item {
+pub fn machine_batch_item(number: u64, machines: &[(usize, MachineRecord)]) -> Item {
     let machines = machines.iter().map(|(n, m)| (machine_id(*n), m.clone()));
     let machine_batch = MachineBatchRecord {
         machines: machines.collect(),
         ..Default::default()
     };
-    item(machine_batch_key(n), &machine_batch)
+    item(machine_batch_key(number), &machine_batch)
 }
 
 /// The layout, the fencing-token counter, and the current and previous leader of each shard.
@@ -91,8 +91,8 @@
     items
 }
 
-pub fn task(n: u64, index: u32) -> TaskId {
-    let job = job_id(n);
+pub fn task(job: u64, index: u32) -> TaskId {
+    let job = job_id(job);
     TaskId { job, index }
 }
 
@@ -100,9 +100,9 @@
     Attempt::from_parts(FencingToken(fencing_token), counter).unwrap()
 }
 
-pub fn reported(n: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
+pub fn reported(job: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
     TaskStatus {
-        task: task(n, index),
+        task: task(job, index),
         attempt,
         state,
         cause: None,
@@ -110,10 +110,10 @@
     }
 }
 
-pub fn exited(n: u64, index: u32, attempt: Attempt, cause: Cause) -> TaskStatus {
+pub fn exited(job: u64, index: u32, attempt: Attempt, cause: Cause) -> TaskStatus {
     TaskStatus {
         cause: Some(cause),
-        ..reported(n, index, attempt, TaskState::Exited)
+        ..reported(job, index, attempt, TaskState::Exited)
     }
 }
 
--- a/crates/pulleywood-recovery/tests/reconcile.rs
+++ b/crates/pulleywood-recovery/tests/reconcile.rs
@@ -130,9 +130,9 @@
 /// A fencing token that was issued before the failover.
 const EARLIER_FENCING_TOKEN: u64 = 5;
 
-fn running(n: u64, index: u32) -> TaskStatus {
+fn running(job: u64, index: u32) -> TaskStatus {
     reported(
-        n,
+        job,
         index,
         attempt(EARLIER_FENCING_TOKEN, 1),
         TaskState::Running,
@@ -197,7 +197,7 @@
         (
             "of a job whose cancellation was confirmed just before",
             running(7, 0),
-            TaskClass::JobOver,
+            TaskClass::JobEnded,
             TaskAction::Stop,
         ),
         (
@@ -330,7 +330,7 @@
             0,
             None,
             |s| s.add_heartbeat(heartbeat(0, CURRENT_FENCING_TOKEN, vec![]), true),
-            MachineClass::Known,
+            MachineClass::Confirmed,
             MachineAction::Keep,
         ),
         (
@@ -614,13 +614,13 @@
 #[test]
 fn missing_service_replicas_are_launched_before_all_other_tasks() {
     let mut scenario = Scenario::new();
-    for (n, rank, shape) in [
+    for (job, rank, shape) in [
         (11, Rank::Urgent, Shape::Array),
         (12, Rank::Idle, Shape::Array),
         (13, Rank::Production, Shape::Service),
         (14, Rank::Production, Shape::Array),
     ] {
-        let mut record = job_record(spec(n, 2));
+        let mut record = job_record(spec(job, 2));
         (record.spec.rank, record.spec.shape) = (rank, shape);
         scenario.items.push(job_item(&record));
     }
--- a/crates/pulleywood-recovery/tests/report_names.rs
+++ b/crates/pulleywood-recovery/tests/report_names.rs
@@ -21,7 +21,7 @@
 #[test]
 fn classes_actions_and_phases_keep_their_json_names() {
     let machines = [
-        MachineClass::Known,
+        MachineClass::Confirmed,
         MachineClass::EarlierFencingToken,
         MachineClass::AboveCounter,
         MachineClass::Unrecorded,
@@ -61,7 +61,7 @@
         TaskClass::DoneCommitted,
         TaskClass::DoneStillRunning,
         TaskClass::Ended,
-        TaskClass::JobOver,
+        TaskClass::JobEnded,
         TaskClass::JobUnknown,
         TaskClass::JobUnreadable,
         TaskClass::Impossible,
