--- a/crates/pulleywood-protocol/src/store.rs
+++ b/crates/pulleywood-protocol/src/store.rs
@@ -139,7 +139,7 @@
     pub conflicting_keys: Vec<String>,
 }
 
-/// The response to a transaction that was applied.
+/// The response to a transaction that was applied, and to the read of a key that does not exist.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct StoreRevision {
     /// Revision of the store, which increases with every change.
