--- a/crates/pulleywood-controller/src/state/mod.rs
+++ b/crates/pulleywood-controller/src/state/mod.rs
@@ -1,9 +1,10 @@
-//! What one controller knows, and what its threads share.
+//! In-memory state of one controller, shared by its threads.
 //!
-//! [`ControllerContext`] is shared by all threads; [`ControllerState`] lies behind its
-//! one short lock, with [`CachedState`], the copy of the watched keys, and the
-//! [`LedShard`]s. Nothing in this module does I/O. Queues lie here as well, below the
-//! threads that fill and empty them.
+//! [`ControllerContext`] holds everything that the threads share. [`ControllerState`] is
+//! the part behind its mutex, which is held for short sections only: it contains
+//! [`CachedState`], a copy of the watched keys, and the [`LedShard`]s. Nothing in this
+//! module does I/O. The queues between threads are defined here too, so that the modules
+//! that fill them and those that drain them do not depend on each other.
 
 mod cached_state;
 mod context;
@@ -22,11 +23,11 @@
 pub use cached_state::CachedState;
 pub use context::ControllerContext;
 pub use controller_state::{ControllerState, ReceivedDigest};
-pub use final_states::Finals;
+pub use final_states::FinalStateCache;
 pub use lease::SessionLease;
 pub use led_shard::{DeferredChange, LedShard};
 pub use linearizable_reads::LinearizableReads;
-pub use records::{JobEntry, job_entry, read, read_job_batch, read_machine_batch};
+pub use records::{JobEntry, decode_job_batch, decode_machine_batch, decode_record, job_entry};
 pub use versioned::Versioned;
 
 #[cfg(test)]
