--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -121,7 +121,7 @@
     ids.sort();
     let serves_none = |received: &ReceivedDigest| {
         let digest = &received.digest;
-        let fit = received.is_fresh(now, MAX_DIGEST_AGE) && digest.fit;
+        let fit = received.is_fresh(now, MAX_DIGEST_AGE) && digest.ready_to_lead;
         fit.then_some(digest.serving.is_empty())
     };
     ids.into_iter()
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -79,7 +79,7 @@
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         endpoint: heartbeat.endpoint.clone(),
-        retiring: false,
+        releasing: false,
         images: Vec::new(),
     };
     let unregistered = UnregisteredMachine {
@@ -285,7 +285,7 @@
     let open = controller
         .cached
         .machine_batches
-        .open(count, max_machines, led_here);
+        .find_with_room(count, max_machines, led_here);
     let head = controller.cached.machine_batch_head;
     match open {
         Some((number, batch, revision)) => TargetBatch {
@@ -342,8 +342,8 @@
     registered: &mut BTreeSet<MachineId>,
     limit: usize,
 ) {
-    batch.fit(limit);
-    while batch.bytes() > limit
+    batch.trim_images(limit);
+    while batch.size_bytes() > limit
         && let Some(id) = registered.pop_last()
     {
         batch.machines.remove(&id);
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -108,7 +108,7 @@
     let mut job_batches = Vec::new();
     if job.in_batch {
         let removed = BTreeSet::from([id.clone()]);
-        (transaction, job_batches) = cached.job_batches.take_out(transaction, &removed);
+        (transaction, job_batches) = cached.job_batches.remove_jobs(transaction, &removed);
         if job_batches.is_empty() {
             // The job has been removed from its job batch; the watch will deliver its record
             // or its end.
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -3,11 +3,11 @@
 use super::{CachedState, LedShard, SessionLease};
 use pulleywood_protocol::peer::{Digest, ShardDigest};
 use pulleywood_protocol::record::JobRecord;
-use pulleywood_protocol::time::{secs, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, secs};
 use pulleywood_protocol::{
     FencingToken, JobId, JobSpec, MachineId, MemberId, MonotonicTime, Revision, ShardId,
 };
-use pulleywood_recovery::counter::Shown;
+use pulleywood_recovery::counter::ObservedToken;
 use pulleywood_scheduler::machine_types::MachineTypeDemand;
 use pulleywood_scheduler::{Config, shard_selection};
 use std::collections::{BTreeMap, VecDeque};
@@ -89,7 +89,7 @@
     pub own_writes: BTreeMap<JobId, Revision>,
     /// Fencing tokens that machines of led shards have seen and that are higher than their
     /// shard's.
-    pub higher_fencing_tokens: BTreeMap<MachineId, Shown>,
+    pub higher_fencing_tokens: BTreeMap<MachineId, ObservedToken>,
     /// Sets of machine types that waiting work of all shards could recently use.
     pub(super) machine_type_demand: MachineTypeDemand,
     /// Boot numbers of peers' processes that have been replaced by newer ones.
@@ -131,7 +131,7 @@
     /// lease ends here before it ends in the store.
     pub fn lease_end(&self) -> MonotonicTime {
         match self.lease.lease_id {
-            Some(_) => self.lease.renewed_at + surely_within(self.lease_ttl()),
+            Some(_) => self.lease.renewed_at + remote_duration_lower_bound(self.lease_ttl()),
             None => MonotonicTime::default(),
         }
     }
@@ -197,9 +197,9 @@
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) {
-        let shown = Shown {
+        let shown = ObservedToken {
             fencing_token,
-            at: now,
+            received_at: now,
         };
         self.higher_fencing_tokens.insert(machine.clone(), shown);
     }
@@ -226,7 +226,7 @@
         let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
             spec,
-            at_ms,
+            accepted_at_ms: at_ms,
             shard,
             transferred: Vec::new(),
             done: String::new(),
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -255,8 +255,8 @@
         self.end_jobs_removed_from_batches(now);
         self.cached.store_revision = self.cached.store_revision.max(store_revision);
         let complete_to = self.cached.store_revision;
-        self.cached.job_batches.forget(complete_to);
-        self.cached.machine_batches.forget(complete_to);
+        self.cached.job_batches.forget_deleted(complete_to);
+        self.cached.machine_batches.forget_deleted(complete_to);
         self.own_writes.retain(|_, at| at.0 > complete_to);
     }
 
@@ -290,7 +290,7 @@
         let Some(changed) = self.cached.machine_batches.put(number, record, revision) else {
             return;
         };
-        for (id, record) in changed.held {
+        for (id, record) in changed.present {
             self.cached.unreadable_machines.remove(&id);
             self.put_machine(&id, record, revision, now);
         }
@@ -298,7 +298,7 @@
             let unreadable = machine_batch.unreadable.keys().cloned();
             self.cached.unreadable_machines.extend(unreadable);
         }
-        for id in changed.gone {
+        for id in changed.removed {
             self.cached.unreadable_machines.remove(&id);
             self.cached.machines.remove(&id);
             for led in self.led_shards.values_mut() {
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -93,7 +93,7 @@
 pub fn decode_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
     let batch = log_unreadable(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
-        let id = pulleywood_protocol::job_batch::job_id(record);
+        let id = pulleywood_protocol::job_batch::unreadable_job_id(record);
         let name = id.map_or("of unknown id".to_owned(), |id| id.to_string());
         log::error!("failed to decode job {name} in job batch {path}");
     }
--- a/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
@@ -99,7 +99,7 @@
     mut remaining: u32,
     is_eligible: impl Fn(&Bin) -> bool,
 ) -> u32 {
-    if tasks.demand.work_s <= 0.0 {
+    if tasks.demand.remaining_work_s <= 0.0 {
         return remaining;
     }
     for bin in bins.iter_mut().filter(|bin| is_eligible(bin)) {
@@ -108,7 +108,7 @@
         }
         let flavor = config.flavors.get(&bin.kind.flavor);
         let boot_s = flavor.map_or(0.0, |flavor| flavor.boot_s.0);
-        let further_runs = boot_s / tasks.demand.work_s - 1.0;
+        let further_runs = boot_s / tasks.demand.remaining_work_s - 1.0;
         if further_runs <= 0.0 || !allows(tasks.demand, &bin.kind) {
             continue;
         }
--- a/crates/pulleywood-scheduler/src/fleet/bins.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bins.rs
@@ -82,7 +82,7 @@
             packed_tasks: 0,
             used_queue_share: 0.0,
             held_by_rank: digest.map(held_by_rank).unwrap_or_default(),
-            pinned_share: digest.map_or(0.0, |digest| digest.pinned),
+            pinned_share: digest.map_or(0.0, |digest| digest.non_spot_share),
         }
     }
 
@@ -121,7 +121,7 @@
         };
         (rank, held)
     };
-    digest.held.iter().map(resources).collect()
+    digest.held_by_rank.iter().map(resources).collect()
 }
 
 /// Returns the machines that count as capacity: those that are up and send heartbeats,
@@ -138,7 +138,7 @@
         let Some(flavor) = config.flavors.get(&record.flavor) else {
             continue;
         };
-        if record.retiring {
+        if record.releasing {
             continue;
         }
         let digest = digests.get(id).map(|(digest, _)| *digest);
--- a/crates/pulleywood-scheduler/src/fleet/demand.rs
+++ b/crates/pulleywood-scheduler/src/fleet/demand.rs
@@ -57,7 +57,9 @@
     waiting_demand
         .iter()
         .filter(may_run)
-        .map(|waiting| f64::from(waiting.count) * waiting.work_s * share(waiting) / slot_share)
+        .map(|waiting| {
+            f64::from(waiting.count) * waiting.remaining_work_s * share(waiting) / slot_share
+        })
         .sum()
 }
 
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -214,7 +214,8 @@
         remaining: u32,
     ) -> u32 {
         let remaining = bin_packing::pack_free(&mut self.bins, tasks, remaining, |bin| {
-            tasks.may_use(bin) && (bin.is_available_to(shard) || tasks.demand.free && !bin.is_up)
+            tasks.may_use(bin)
+                && (bin.is_available_to(shard) || tasks.demand.any_shard && !bin.is_up)
         });
         bin_packing::queue_short_tasks(self.config, &mut self.bins, tasks, remaining, |bin| {
             tasks.may_use(bin)
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -89,7 +89,7 @@
     snapshot
         .records
         .iter()
-        .filter(|(_, record)| record.retiring)
+        .filter(|(_, record)| record.releasing)
         .map(|(id, _)| id.clone())
         .collect()
 }
@@ -118,9 +118,10 @@
         .filter(|digest| !digest.rebuilding)
         .flat_map(|digest| &digest.machines)
         .filter(|machine| {
-            machine.lost_s > min_unreachable_s && snapshot.records.contains_key(&machine.machine)
+            machine.out_of_contact_s > min_unreachable_s
+                && snapshot.records.contains_key(&machine.machine)
         })
-        .map(|machine| (machine.lost_s, &machine.machine))
+        .map(|machine| (machine.out_of_contact_s, &machine.machine))
         .collect();
     unreachable.sort_by(|a, b| b.0.total_cmp(&a.0));
     unreachable.truncate(snapshot.records.len() / MACHINES_PER_REPLACEMENT + 1);
@@ -163,7 +164,7 @@
         .flat_map(|digest| &digest.machines)
         .filter(|machine| {
             machine.unreported
-                && machine.lost_s > report_deadline_s
+                && machine.out_of_contact_s > report_deadline_s
                 && is_worthwhile(&machine.machine)
         })
         .map(|machine| machine.machine.clone())
--- a/crates/pulleywood-scheduler/src/fleet/scale_out.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_out.rs
@@ -63,7 +63,7 @@
             return;
         }
         let shards = self.snapshot.shards;
-        for demand in shards.values().flat_map(|digest| &digest.displaced) {
+        for demand in shards.values().flat_map(|digest| &digest.displaced_demand) {
             let tasks = self.pending_tasks(demand);
             if !tasks.avoided_types.is_empty() {
                 self.rent_other_types(&tasks);
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -13,7 +13,7 @@
     /// resources.
     pub(super) fn allows(&self, spec: &JobSpec) -> bool {
         self.launches_left > 0
-            && spec.allows_place(self.zone, self.spot)
+            && spec.allows_placement(self.zone, self.spot)
             && spec
                 .types
                 .as_ref()
--- a/crates/pulleywood-scheduler/tests/fleet.rs
+++ b/crates/pulleywood-scheduler/tests/fleet.rs
@@ -27,9 +27,9 @@
         zones: vec![],
         spot,
         rank,
-        work_s: 60.0,
+        remaining_work_s: 60.0,
         count,
-        free: true,
+        any_shard: true,
     }
 }
 
@@ -96,11 +96,11 @@
             memory_gb: free.memory_gb,
             idle_s,
             heartbeat_age_s: 0.5,
-            lost_s: 0.5,
+            out_of_contact_s: 0.5,
             unreported: false,
             quarantined: false,
-            pinned: 0.0,
-            held: vec![(rank, 4.0 * held, held, 8.0 * held)],
+            non_spot_share: 0.0,
+            held_by_rank: vec![(rank, 4.0 * held, held, 8.0 * held)],
         };
         self.digest(shard).machines.push(digest);
     }
@@ -380,7 +380,7 @@
         }
         let shard = fleet.digest(SHARD_A);
         for digest in shard.machines.iter_mut().take(pinned_machines) {
-            digest.pinned = 0.5;
+            digest.non_spot_share = 0.5;
         }
         let actions = fleet.decide(at(0.0));
         let given_back = actions.iter().filter(|a| matches!(a, Action::ScaleIn(..)));
@@ -432,7 +432,7 @@
         }
         let digests = &mut fleet.digest(SHARD_A).machines;
         for digest in digests.iter_mut().take(unreachable) {
-            digest.lost_s = lost_s;
+            digest.out_of_contact_s = lost_s;
         }
         let mut released = 0;
         for second in 0..10 {
@@ -480,7 +480,7 @@
         for (shard, count) in [(SHARD_A, unreported), (SHARD_B, overdue)] {
             let shard = fleet.digest(shard);
             for digest in shard.machines.iter_mut().take(count) {
-                digest.lost_s = lost_s;
+                digest.out_of_contact_s = lost_s;
                 digest.unreported = shard.shard == SHARD_A;
                 digest.heartbeat_age_s = if digest.unreported { -1.0 } else { 30.0 };
             }
@@ -550,7 +550,7 @@
         fleet.add_demand(
             SHARD_A,
             Demand {
-                free: transferable,
+                any_shard: transferable,
                 ..demand
             },
         );
@@ -635,7 +635,7 @@
         };
         fleet.add_machine(SHARD_A, 0, 4.0, Rank::Urgent, -1.0);
         let shard = fleet.digest(SHARD_A);
-        shard.displaced.push(small(4));
+        shard.displaced_demand.push(small(4));
         if tasks_wait {
             fleet.history.record_refusal(&kind("a", true), at(1.0));
             fleet.history.record_refusal(&kind("b", true), at(1.0));
@@ -665,7 +665,7 @@
             fleet.add_machine(SHARD_A, machine_index, 4.0, Rank::Standard, -1.0);
         }
         let mut demand = demand(waiting_tasks, Rank::Standard, true);
-        demand.work_s = work_s;
+        demand.remaining_work_s = work_s;
         fleet.add_demand(SHARD_A, demand);
         assert_eq!(
             fleet.count_rented(at(0.0)),
--- a/crates/pulleywood-scheduler/tests/placement.rs
+++ b/crates/pulleywood-scheduler/tests/placement.rs
@@ -565,7 +565,7 @@
         // One more task fits, and team red runs none.
         harness.submit(cpu_job(2, 5, 4.0), false);
         let mut later_job = job_record(spec(3, 5));
-        later_job.at_ms = 60_000;
+        later_job.accepted_at_ms = 60_000;
         harness
             .state
             .put_job(&later_job, Revision(2), false, at(60.0), &harness.config);
@@ -705,7 +705,7 @@
             ..spec(1, 1)
         };
         let record = JobRecord {
-            at_ms: at(0.0).0,
+            accepted_at_ms: at(0.0).0,
             ..job_record(urgent)
         };
         harness
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -9,14 +9,14 @@
 use pulleywood_protocol::job_batch::JobBatches;
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
 use pulleywood_protocol::record::{JobRecord, Key, shard_leader_key};
-use pulleywood_protocol::time::{secs, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, secs};
 use pulleywood_protocol::worker::{Heartbeat, HeartbeatResponse};
 use pulleywood_protocol::{
     JobId, MachineId, MemberId, MonotonicTime, Revision, Shape, ShardId, cbor,
 };
 use pulleywood_recovery::RecoveryPolicy;
 use pulleywood_recovery::audit::Audit;
-use pulleywood_recovery::progress::Progress;
+use pulleywood_recovery::progress::RecoveryProgress;
 use pulleywood_scheduler::{Config, ShardState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -54,7 +54,7 @@
     jobs: BTreeSet<JobId>,
     machines: BTreeSet<MachineId>,
     rounds: MonotonicTime,
-    progress: Progress,
+    progress: RecoveryProgress,
     audit: Audit,
     audited: MonotonicTime,
     /// The recovery subsystem, if it is on.
@@ -79,7 +79,7 @@
             jobs: BTreeSet::new(),
             machines: BTreeSet::new(),
             rounds: MonotonicTime(0),
-            progress: Progress::default(),
+            progress: RecoveryProgress::default(),
             audit: Audit::default(),
             audited: MonotonicTime(0),
             recovery: None,
@@ -109,7 +109,7 @@
     }
 
     fn may_act(&self, now: MonotonicTime, config: &Config) -> bool {
-        let lease = surely_within(secs(config.policy.shard_lease_s));
+        let lease = remote_duration_lower_bound(secs(config.policy.shard_lease_s));
         self.up && now < self.contact + lease
     }
 
--- a/crates/pulleywood-transport/src/store.rs
+++ b/crates/pulleywood-transport/src/store.rs
@@ -4,7 +4,7 @@
 use crate::client::{Client, ClientError, Response};
 use pulleywood_protocol::cbor;
 use pulleywood_protocol::store::{
-    Events, Failed, Item, LeaseGranted, Page, StoreRevision, Transaction, Ttl,
+    Events, Item, LeaseGranted, LeaseRequest, Page, StoreRevision, Transaction, TransactionConflict,
 };
 use pulleywood_protocol::{LeaseId, Revision};
 use serde::de::DeserializeOwned;
@@ -271,8 +271,8 @@
                 decode::<StoreRevision>(&response)?.store_revision,
             ))),
             // The status alone says that nothing was applied, so the body may be unreadable.
-            409 => Ok(Err(cbor::decode::<Failed>(&response.body)
-                .map(|body| body.failed)
+            409 => Ok(Err(cbor::decode::<TransactionConflict>(&response.body)
+                .map(|body| body.conflicting_keys)
                 .unwrap_or_default())),
             400 if transaction.writes.iter().any(|write| {
                 matches!(
@@ -298,7 +298,7 @@
     /// response arrives in time.
     pub fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
         self.take_tokens(RequestPriority::Lease, 0)?;
-        let body = cbor::encode(&Ttl {
+        let body = cbor::encode(&LeaseRequest {
             ttl_ms: ttl.as_millis() as u64,
         });
         let response = self.send(
