--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -109,7 +109,7 @@
     let mut done = recorded;
     let mut running = 0;
     for led in controller.led_shards.values() {
-        running += led.state.running(id);
+        running += led.state.running_tasks(id);
         if let Some(job) = led.state.jobs.get(id) {
             done = done.max(job.done.len());
         }
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -167,8 +167,8 @@
     let Some(led) = controller.led_shards.get_mut(&shard) else {
         return Response::later(503, 1);
     };
-    match led.state.heartbeat(heartbeat, false, now, &config) {
-        HeartbeatOutcome::Fresh => {}
+    match led.state.handle_heartbeat(heartbeat, false, now, &config) {
+        HeartbeatOutcome::Accepted => {}
         // Its worker obeys another leader and is to look for it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
@@ -179,7 +179,9 @@
         // Its worker has given this heartbeat up and drops the response.
         HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => return Response::later(503, 1),
     }
-    let commands = led.state.answer(&heartbeat.machine, launch, now, &config);
+    let commands = led
+        .state
+        .response_commands(&heartbeat.machine, launch, now, &config);
     let Some(machine) = led.state.machines.get(&heartbeat.machine) else {
         return Response::later(503, 1);
     };
--- a/crates/pulleywood-controller/src/recovery/mod.rs
+++ b/crates/pulleywood-controller/src/recovery/mod.rs
@@ -111,9 +111,9 @@
                 running = numbers.running,
                 stopping = numbers.stopping,
                 uncommitted = numbers.uncommitted,
-                older_waiting = numbers.older_waiting,
-                older_blocked = numbers.older_blocked,
-                services_missing = numbers.services_missing,
+                older_waiting = numbers.inherited_waiting,
+                older_blocked = numbers.inherited_blocked,
+                services_missing = numbers.waiting_replicas,
                 "shard {shard}: recovery is in phase {to:?}"
             );
         });
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -188,8 +188,8 @@
             previous_launches.until,
             self.config.zones.clone(),
         );
-        state.resumption.stops_wait = context.recovery.is_some();
-        state.day_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
+        state.resumption.delays_preemption = context.recovery.is_some();
+        state.wall_clock_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
         if let Some(first_quota) = self.first_quota {
             controller.put_quota(self.shard, first_quota, revision);
         }
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -124,6 +124,6 @@
     let mut controller = context.controller.lock();
     let config = Arc::clone(&controller.config);
     if let Some(led) = controller.led_shards.get_mut(&shard) {
-        led.state.heartbeat(heartbeat, true, now, &config);
+        led.state.handle_heartbeat(heartbeat, true, now, &config);
     }
 }
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -73,7 +73,7 @@
     let mut health_events = Vec::new();
     for led in controller.led_shards.values_mut().filter(|led| led.loaded) {
         led.state.tick(now, &config);
-        waits.add(led.state.take_started());
+        waits.add(led.state.take_task_starts());
         health_events.extend(led.state.take_health_events());
     }
     waits.log(now);
@@ -83,7 +83,7 @@
     }
     let loaded = controller.led_shards.iter().filter(|(_, led)| led.loaded);
     let due = loaded.filter_map(|(shard, led)| {
-        let urgent = led.state.has_batch(now, &config)?;
+        let urgent = led.state.next_batch_is_urgent(now, &config)?;
         let priority = if urgent {
             RequestPriority::Done
         } else {
@@ -101,14 +101,18 @@
 fn log_health_events(events: Vec<HealthEvent>) {
     for event in events {
         match event {
-            HealthEvent::Broken(id) => {
+            HealthEvent::JobBroken(id) => {
                 log::info!("held {id} back: it fails on several machines and runs on none");
             }
-            HealthEvent::Runs(id) => log::info!("no longer held {id} back: it runs after all"),
-            HealthEvent::Quarantined(id) => {
+            HealthEvent::JobRecovered(id) => {
+                log::info!("no longer held {id} back: it runs after all")
+            }
+            HealthEvent::MachineQuarantined(id) => {
                 log::info!("quarantined {id}, to be replaced: it fails jobs that run elsewhere");
             }
-            HealthEvent::Fit(id) => log::info!("kept {id}: it runs again what it failed"),
+            HealthEvent::MachineRestored(id) => {
+                log::info!("kept {id}: it runs again what it failed")
+            }
         }
     }
 }
@@ -150,7 +154,7 @@
     let most = controller.config.batch_ops / 2;
     let mut records = BTreeMap::new();
     let mut touched = BTreeSet::new();
-    for (id, record) in led.state.new_images() {
+    for (id, record) in led.state.outdated_image_records() {
         let Some(number) = batches.find(&id) else {
             continue;
         };
@@ -196,7 +200,7 @@
     let job_batches = &controller.cached.job_batches;
     let batch = led
         .state
-        .batch(led.revision, job_batches, now, &controller.config)?;
+        .next_batch(led.revision, job_batches, now, &controller.config)?;
     Some(PreparedDoneBatch {
         shard,
         shard_revision: led.revision,
@@ -211,10 +215,10 @@
         let mut controller = context.controller.lock();
         let led = controller.led_shards.get_mut(&self.shard);
         if let Some(led) = led.filter(|led| led.revision == self.shard_revision) {
-            led.state.batch_applied(&batch, revision);
+            led.state.mark_batch_committed(&batch, revision);
         }
         for job in &batch.jobs {
-            match job.over {
+            match job.final_record {
                 Some(_) => controller.end_job(&job.id, revision),
                 None => controller.own_record(&job.id, revision),
             }
@@ -223,7 +227,7 @@
         drop(controller);
         for job in &batch.jobs {
             let (shard, id, tasks) = (self.shard, &job.id, job.tasks.len());
-            match &job.over {
+            match &job.final_record {
                 Some(state) => {
                     // Its user asks next; the answer needs no read.
                     context.finals.lock().put(id, state.clone());
@@ -256,7 +260,7 @@
     let controller = context.controller.lock();
     let led = controller.led_shards.get(&shard);
     let job = led.and_then(|led| led.state.jobs.get(id));
-    job.is_some_and(|job| job.in_batch)
+    job.is_some_and(|job| job.in_job_batch)
 }
 
 /// Brings one job's record up to what is stored.
@@ -289,7 +293,7 @@
         }
     }
     if !live {
-        led.state.drop_job(id);
+        led.state.remove_job(id);
     }
     Ok(())
 }
--- a/crates/pulleywood-controller/src/shard/launch_waits.rs
+++ b/crates/pulleywood-controller/src/shard/launch_waits.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 use pulleywood_protocol::MonotonicTime;
-use pulleywood_scheduler::shard::Started;
+use pulleywood_scheduler::shard::TaskStart;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -35,12 +35,12 @@
     }
 
     /// Counts tasks that have started to run.
-    pub fn add(&mut self, started: Vec<Started>) {
+    pub fn add(&mut self, started: Vec<TaskStart>) {
         for task in started {
             log::debug!(
                 "{} runs, {:.1} s after its launch",
                 task.task,
-                task.fetched.as_secs_f64()
+                task.startup_time.as_secs_f64()
             );
             let new = || Histogram::new_with_max(HIGHEST_MS, 2).ok();
             if !self.classes.contains_key(&task.class)
@@ -52,10 +52,10 @@
             if let Some(waits) = self.classes.get_mut(&task.class) {
                 waits
                     .launch
-                    .saturating_record(task.waited.as_millis() as u64);
+                    .saturating_record(task.queue_time.as_millis() as u64);
                 waits
                     .image
-                    .saturating_record(task.fetched.as_millis() as u64);
+                    .saturating_record(task.startup_time.as_millis() as u64);
             }
         }
     }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -160,6 +160,6 @@
     Led {
         shard,
         stays: led.loaded && !led.leaving,
-        unrecorded: led.loaded && led.reconciled_at.is_none() && !led.state.rebuilding(),
+        unrecorded: led.loaded && led.reconciled_at.is_none() && !led.state.is_rebuilding(),
     }
 }
--- a/crates/pulleywood-controller/src/shard/quota.rs
+++ b/crates/pulleywood-controller/src/shard/quota.rs
@@ -53,10 +53,10 @@
     let led = controller.led_shards.get_mut(&shard);
     let led = led.filter(|led| led.loaded)?;
     let stored = stored?;
-    let used = led.state.used(&config);
+    let used = led.state.usage_by_team(&config);
     let record = quota::shrunk(&stored.value, to, &used)?;
     led.state.quotas = record.clone();
-    led.state.disturb();
+    led.state.invalidate_plan();
     let key = quota_key(shard);
     let transaction = Transaction::default()
         .when(key.clone(), stored.revision)
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -141,7 +141,7 @@
         .find(|(_, led)| ids.iter().any(|id| may_leave(led, id)))?;
     let fencing_token = counter.value.next();
     let records = records_to_write(led, ids, to, fencing_token);
-    led.state.disturb();
+    led.state.invalidate_plan();
     let mut transaction = Transaction::default().when(shard_leader_key(*shard), led.revision);
     if let Destination::Shard(_) = to {
         let next_counter = FencingTokenCounter {
@@ -238,7 +238,7 @@
         && let Some(machine) = led.state.machines.get_mut(id)
     {
         machine.leaving = machine.record.retiring;
-        led.state.disturb();
+        led.state.invalidate_plan();
     }
 }
 
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -75,7 +75,7 @@
     let Some(led) = led.filter(|led| led.loaded && !led.leaving) else {
         return Vec::new();
     };
-    let offers = led.state.offer(like, &config).into_iter();
+    let offers = led.state.offer_tasks(like, &config).into_iter();
     offers
         .filter_map(|offer| prepare_transfer(&controller.cached, led, from, to, offer, &config))
         .collect()
@@ -91,11 +91,11 @@
 ) -> Option<PreparedTransfer> {
     let TransferOffer { id, zone, tasks } = offer;
     let job = led.state.jobs.get(&id)?;
-    let mut record = job.record(job.committed.chunk_text(0, config.chunk));
+    let mut record = job.to_record(job.committed.chunk_text(0, config.chunk));
     record.transfer_tasks(to, zone.as_deref(), &tasks);
     let key = job_key(id.shard(config.shards), &id);
     // A job in a job batch has no record of its own yet.
-    let revision = if job.in_batch {
+    let revision = if job.in_job_batch {
         Revision(0)
     } else {
         job.revision
@@ -105,7 +105,7 @@
         .when(key.clone(), revision)
         .write(key, &record);
     let mut job_batches = Vec::new();
-    if job.in_batch {
+    if job.in_job_batch {
         let leaving = BTreeSet::from([id.clone()]);
         (transaction, job_batches) = cached.job_batches.take_out(transaction, &leaving);
         if job_batches.is_empty() {
@@ -138,7 +138,7 @@
         }
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
             match outcome {
-                Err(StoreError::Unknown(_)) => led.state.doubt_offer(&self.id),
+                Err(StoreError::Unknown(_)) => led.state.mark_offer_uncertain(&self.id),
                 // Not applied, and never will be.
                 _ => led.state.withdraw_offer(&self.id),
             }
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -179,7 +179,7 @@
     pub fn hold_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
         for led in self.led_shards.values_mut() {
             for id in jobs {
-                led.state.cancelling(id, until);
+                led.state.hold_for_cancellation(id, until);
             }
         }
     }
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -64,7 +64,7 @@
         }
         self.choices.forget(now);
         for led in self.led_shards.values_mut() {
-            led.state.choices.clone_from(&self.choices);
+            led.state.machine_type_demand.clone_from(&self.choices);
         }
     }
 
@@ -159,7 +159,7 @@
             }
         }
         for led in self.led_shards.values_mut() {
-            led.state.elsewhere.clone_from(&elsewhere);
+            led.state.usage_in_other_shards.clone_from(&elsewhere);
         }
     }
 }
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -266,7 +266,7 @@
         }
         if let Some(led) = self.led_shards.get_mut(&p) {
             led.state.quotas = record.clone();
-            led.state.disturb();
+            led.state.invalidate_plan();
         }
         self.cached
             .quotas
@@ -296,7 +296,7 @@
             self.cached.unreadable_machines.remove(&id);
             self.cached.machines.remove(&id);
             for led in self.led_shards.values_mut() {
-                led.state.drop_machine(&id);
+                led.state.remove_machine(&id);
             }
         }
     }
@@ -331,7 +331,7 @@
                 // that was just loaded may know a newer record than the watch: dropped
                 // for an older one, the machine would come back as one on which no
                 // previous leader launched anything.
-                led.state.drop_machine(id);
+                led.state.remove_machine(id);
             }
         }
         self.cached.machines.insert(id.clone(), (record, revision));
--- a/crates/pulleywood-controller/src/state/own_writes.rs
+++ b/crates/pulleywood-controller/src/state/own_writes.rs
@@ -27,7 +27,7 @@
         self.cached.jobs.remove(id);
         self.cached.own_records.remove(id);
         for led in self.led_shards.values_mut() {
-            led.state.drop_job(id);
+            led.state.remove_job(id);
         }
     }
 
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -55,12 +55,12 @@
                 .state
                 .put_batched_job(record, revision, old, now, config),
             JobEntry::Chunk(n, record) => self.state.put_chunk(id, *n, record, revision, config),
-            JobEntry::Unreadable => self.state.block_job(id),
+            JobEntry::Unreadable => self.state.mark_job_unreadable(id),
             JobEntry::Gone => {
                 let blocked = self.state.unreadable_jobs.contains(id);
                 let older = |j: &Job| j.revision < revision;
                 if blocked || self.state.jobs.get(id).is_some_and(older) {
-                    self.state.drop_job(id);
+                    self.state.remove_job(id);
                 }
             }
         }
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -181,7 +181,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in missing {
-            led.state.drop_machine(&id);
+            led.state.remove_machine(&id);
         }
     }
 }
--- a/crates/pulleywood-recovery/src/gate.rs
+++ b/crates/pulleywood-recovery/src/gate.rs
@@ -20,16 +20,20 @@
     since: MonotonicTime,
     now: MonotonicTime,
 ) -> Option<FetchGate> {
-    if shard.services_missing == 0 || now.since(since) >= policy.services_first() {
+    if shard.waiting_replicas == 0 || now.since(since) >= policy.services_first() {
         return None;
     }
     let fetch_limit = policy.fetches_per_zone as usize;
     let zones = shard.zones.iter().map(|zone| {
-        let busy = shard.lower_fetches.get(zone).copied().unwrap_or(0);
+        let busy = shard
+            .fetches_below_production
+            .get(zone)
+            .copied()
+            .unwrap_or(0);
         (zone.clone(), fetch_limit.saturating_sub(busy))
     });
     Some(FetchGate {
-        until: now + GATE_DURATION,
-        left: zones.collect(),
+        ends_at: now + GATE_DURATION,
+        remaining_by_zone: zones.collect(),
     })
 }
--- a/crates/pulleywood-recovery/src/progress.rs
+++ b/crates/pulleywood-recovery/src/progress.rs
@@ -32,13 +32,13 @@
             return Phase::Read;
         };
         if shard.unreported > 0 || shard.unreadable_machines {
-            return if shard.older_blocked > 0 {
+            return if shard.inherited_blocked > 0 {
                 Phase::Decide
             } else {
                 Phase::Hear
             };
         }
-        if shard.older_waiting + shard.stopping + shard.uncommitted > 0 {
+        if shard.inherited_waiting + shard.stopping + shard.uncommitted > 0 {
             Phase::Act
         } else {
             Phase::Complete
--- a/crates/pulleywood-recovery/tests/audit.rs
+++ b/crates/pulleywood-recovery/tests/audit.rs
@@ -324,8 +324,8 @@
     for (unreported, blocked, waiting, stopping, uncommitted, phase) in cases {
         let snapshot = ShardSnapshot {
             unreported,
-            older_blocked: blocked,
-            older_waiting: waiting,
+            inherited_blocked: blocked,
+            inherited_waiting: waiting,
             stopping,
             uncommitted,
             ..ShardSnapshot::default()
--- a/crates/pulleywood-scheduler/src/placement/assign.rs
+++ b/crates/pulleywood-scheduler/src/placement/assign.rs
@@ -65,7 +65,7 @@
         if !self.quota_allows(spec, &self.usage) {
             return AssignOutcome::Complete;
         }
-        let mut zones = self.state.by_zone(job);
+        let mut zones = self.state.task_counts_by_zone(job);
         let mut planned = BTreeSet::new();
         if queued.follows_starved_entry {
             planned = self.planned_tasks(queued.id, &mut zones);
@@ -91,7 +91,7 @@
                     }
                 }
                 // Other tasks of the job may be bound to other zones.
-                TaskOutcome::NoCandidate if !job.bound.is_empty() => {
+                TaskOutcome::NoCandidate if !job.zone_bindings.is_empty() => {
                     outcome = AssignOutcome::LacksCapacity;
                 }
                 TaskOutcome::NoCandidate => return AssignOutcome::LacksCapacity,
@@ -103,7 +103,10 @@
     /// Scores the candidates for a job. `zones`: its tasks by zone.
     fn begin_assignment(&self, job: &'a Job, zones: BTreeMap<String, u32>) -> Assignment<'a> {
         let need = ResourceVector::of_task(&job.spec);
-        let avoid = self.state.choices.left_by_job(self.config, &job.spec);
+        let avoid = self
+            .state
+            .machine_type_demand
+            .left_by_job(self.config, &job.spec);
         let candidates = self.score_candidates(job, &need, &avoid);
         Assignment {
             job,
@@ -140,7 +143,7 @@
             .iter()
             .map(|c| self.candidates[c.at].free.times(&assignment.need))
             .sum();
-        fitting >= assignment.job.waiting.len() && !assignment.job.broken
+        fitting >= assignment.job.waiting.len() && !assignment.job.gang_interrupted
     }
 
     /// Plans one task, unless it is better off waiting.
--- a/crates/pulleywood-scheduler/src/placement/borrowed.rs
+++ b/crates/pulleywood-scheduler/src/placement/borrowed.rs
@@ -76,8 +76,8 @@
         let mut here: BTreeMap<&str, Slots> = BTreeMap::new();
         for slot in state.machines.values().flat_map(|m| &m.slots) {
             if let Some(spec) = &slot.spec
-                && slot.holds_room()
-                && slot.stop.is_none()
+                && slot.holds_resources()
+                && slot.stop_grace_s.is_none()
             {
                 let sum = here.entry(spec.team.as_str()).or_default();
                 add(sum, ResourceVector::of_task(spec).slots());
@@ -86,7 +86,7 @@
         let by_team = here.into_iter().filter_map(|(name, here)| {
             let team = config.teams.get(name)?;
             let mut everywhere = here;
-            if let Some(elsewhere) = state.elsewhere.get(name) {
+            if let Some(elsewhere) = state.usage_in_other_shards.get(name) {
                 add(&mut everywhere, *elsewhere);
             }
             Some((name, TeamBorrowing::new(team, here, everywhere)))
--- a/crates/pulleywood-scheduler/src/placement/candidates.rs
+++ b/crates/pulleywood-scheduler/src/placement/candidates.rs
@@ -141,7 +141,7 @@
             fetch_queue_gb: 0.0,
             ends_per_s: 0.0,
         };
-        for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+        for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
             if let Some(spec) = &slot.spec {
                 usage.add(machine, slot, spec);
             }
@@ -155,7 +155,7 @@
         if !spec.spot {
             self.pinned += held;
         }
-        if slot.stop.is_some() {
+        if slot.stop_grace_s.is_some() {
             self.releasing += held;
         }
         if spec.shape != Shape::Service && slot.state == SlotState::Running {
@@ -175,13 +175,13 @@
 /// Whether a machine may be given tasks now, whatever they need.
 fn is_schedulable(machine: &Machine, now: MonotonicTime, max_heartbeat_age: Duration) -> bool {
     let in_touch = machine
-        .heard
+        .last_heartbeat_at
         .is_some_and(|at| now.since(at) < max_heartbeat_age);
     machine.confirmed
         && in_touch
         && machine.inbound_partitioned_since.is_none()
-        && machine.stays_in_use(now)
-        && !machine.has_foreign()
+        && machine.remains_in_service(now)
+        && !machine.has_unknown_attempts()
 }
 
 /// The machines of a shard that may be given tasks now, in the order of their ids.
@@ -201,7 +201,7 @@
         let Some(flavor) = config.flavors.get(&machine.record.flavor) else {
             continue;
         };
-        let next_heartbeat_s = match machine.heard {
+        let next_heartbeat_s = match machine.last_heartbeat_at {
             Some(at) if id != reporter => config
                 .heartbeat_interval
                 .saturating_sub(now.since(at))
--- a/crates/pulleywood-scheduler/src/placement/claim.rs
+++ b/crates/pulleywood-scheduler/src/placement/claim.rs
@@ -76,6 +76,7 @@
     /// right after this leader could answer workers again, most heartbeats are yet
     /// to come. Nothing is preempted until then.
     pub(super) fn capacity_may_return(&self, spec: &JobSpec) -> bool {
-        self.state.returning_room(spec, self.now, self.config)
+        self.state
+            .may_fit_returning_machine(spec, self.now, self.config)
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -30,7 +30,7 @@
     zone: &str,
 ) -> bool {
     let spec = &job.spec;
-    if let Some(bound) = job.bound.get(&index) {
+    if let Some(bound) = job.zone_bindings.get(&index) {
         return bound == zone;
     }
     if spec.one_zone && zones.keys().any(|z| z != zone) {
--- a/crates/pulleywood-scheduler/src/placement/mod.rs
+++ b/crates/pulleywood-scheduler/src/placement/mod.rs
@@ -70,12 +70,12 @@
         }
         self.planned_at = Some(now);
         let plan = self.make_plan(reporter, now, config);
-        self.plan = plan.launches;
+        self.planned_launches = plan.launches;
         self.candidates_examined += plan.candidates_examined;
         for preemption in plan.preemptions {
             let machine = self.machines.get_mut(&preemption.machine);
             if let Some(slot) = machine.and_then(|m| m.slots.get_mut(preemption.slot)) {
-                slot.stop = Some(preemption.grace_s);
+                slot.stop_grace_s = Some(preemption.grace_s);
             }
         }
     }
@@ -156,7 +156,7 @@
             releasing: indices().filter(is_releasing).collect(),
             candidates,
             smallest_task,
-            usage: state.used(config),
+            usage: state.usage_by_team(config),
             lowest_rank,
             running_teams,
             borrowed: BorrowedUsage::of(state, config),
@@ -235,7 +235,7 @@
     let mut lowest_rank: Option<Rank> = None;
     let mut teams: Vec<&str> = Vec::new();
     for slot in candidates.iter().flat_map(|c| c.slots) {
-        if let Some(spec) = slot.spec.as_ref().filter(|_| slot.holds_room()) {
+        if let Some(spec) = slot.spec.as_ref().filter(|_| slot.holds_resources()) {
             lowest_rank = Some(lowest_rank.map_or(spec.rank, |l| l.min(spec.rank)));
             if !teams.contains(&spec.team.as_str()) {
                 teams.push(&spec.team);
--- a/crates/pulleywood-scheduler/src/placement/preempt.rs
+++ b/crates/pulleywood-scheduler/src/placement/preempt.rs
@@ -45,7 +45,7 @@
     pub(super) fn preempt(&mut self, queued: &QueuedJob<'a>) {
         let job = queued.job;
         let spec: &'a JobSpec = &job.spec;
-        let mut zones = self.state.by_zone(job);
+        let mut zones = self.state.task_counts_by_zone(job);
         let planned = self.planned_tasks(queued.id, &mut zones);
         let mut usage = self.usage.clone();
         let mut claim = self.claim(spec, &usage);
@@ -57,7 +57,7 @@
             }
             let chosen = self.choose_offer(&request, &claim, index, &zones, &mut offers);
             let Some(Offer { at, victims, .. }) = chosen else {
-                if job.bound.is_empty() {
+                if job.zone_bindings.is_empty() {
                     return;
                 }
                 // Other tasks of the job may be bound to other zones.
@@ -80,12 +80,15 @@
 
     fn preemption_request(&self, job: &'a Job, claim: &Claim<'_>) -> PreemptionRequest<'a> {
         let spec = &job.spec;
-        let age = self.now.since(self.state.submitted(job));
+        let age = self.now.since(self.state.submitted_at(job));
         let transfer_time = self.config.heartbeat_interval.mul_f64(TRANSFER_HEARTBEATS);
         PreemptionRequest {
             job,
             need: ResourceVector::of_task(spec),
-            avoid: self.state.choices.left_by_job(self.config, spec),
+            avoid: self
+                .state
+                .machine_type_demand
+                .left_by_job(self.config, spec),
             preempts: self.may_preempt(spec, claim) && !self.capacity_may_return(spec),
             spares_avoided: age < transfer_time,
         }
@@ -225,8 +228,8 @@
             free += candidate.releasing;
             for slot in candidate.slots {
                 if let Some(victim) = &slot.spec
-                    && slot.stop.is_none()
-                    && slot.holds_room()
+                    && slot.stop_grace_s.is_none()
+                    && slot.holds_resources()
                     && victim.rank < spec.rank
                 {
                     free += ResourceVector::of_task(victim);
--- a/crates/pulleywood-scheduler/src/placement/queue.rs
+++ b/crates/pulleywood-scheduler/src/placement/queue.rs
@@ -63,10 +63,10 @@
     config: &Config,
 ) -> Queues<'a> {
     let mut queues = Queues::new();
-    let rebuilding = state.rebuilding();
+    let rebuilding = state.is_rebuilding();
     for (id, job) in &state.jobs {
-        let unseen = rebuilding && state.may_run_unseen(job, config);
-        let held = job.health.is_held(now) || now < job.cancelling_until;
+        let unseen = rebuilding && state.may_run_on_unreported_machine(job, config);
+        let held = job.health.is_backing_off(now) || now < job.cancelling_until;
         if job.waiting.is_empty() || held || unseen {
             continue;
         }
@@ -93,14 +93,14 @@
     now: MonotonicTime,
     config: &Config,
 ) {
-    let age_s = now.since(state.submitted(job)).as_secs_f64();
+    let age_s = now.since(state.submitted_at(job)).as_secs_f64();
     let patience_s = config.policy.patience_s;
     let entry = |value, task_limit, follows_starved_entry| QueuedJob {
         id,
         job,
         rank: job.spec.rank,
         value,
-        at_ms: job.at_ms,
+        at_ms: job.submitted_at_ms,
         task_limit,
         follows_starved_entry,
         ignores_fair_share: value == STARVED_VALUE && age_s > FAIR_SHARE_PATIENCE * patience_s,
@@ -130,7 +130,7 @@
 
 /// The value of serving a job now, compared within its rank.
 fn value(state: &ShardState, job: &Job, now: MonotonicTime, config: &Config) -> f64 {
-    let age = now.since(state.submitted(job));
+    let age = now.since(state.submitted_at(job));
     let (open, longest_s) = config.open_objectives(&job.spec, age);
     if age.as_secs_f64() > OVERDUE_OBJECTIVES * longest_s {
         return f64::MAX;
@@ -146,7 +146,7 @@
     usage: &BTreeMap<String, Slots>,
 ) -> Slots {
     let mut sum = usage.get(team).copied().unwrap_or_default();
-    if let Some(&elsewhere) = state.elsewhere.get(team) {
+    if let Some(&elsewhere) = state.usage_in_other_shards.get(team) {
         add(&mut sum, elsewhere);
     }
     sum
--- a/crates/pulleywood-scheduler/src/placement/reserve.rs
+++ b/crates/pulleywood-scheduler/src/placement/reserve.rs
@@ -77,7 +77,7 @@
     fn fullest_usable(&self, queued: &QueuedJob<'a>, index: u32, count: usize) -> Vec<usize> {
         let job = queued.job;
         let need = ResourceVector::of_task(&job.spec);
-        let zones = self.state.by_zone(job);
+        let zones = self.state.task_counts_by_zone(job);
         let mut usable: Vec<(f64, &MachineId, usize)> = self
             .candidates
             .iter()
@@ -99,7 +99,7 @@
 /// A machine's capacity less what service tasks hold: those do not end.
 fn capacity_without_services(candidate: &CandidateMachine<'_>) -> ResourceVector {
     let mut capacity = candidate.capacity;
-    for slot in candidate.slots.iter().filter(|s| s.holds_room()) {
+    for slot in candidate.slots.iter().filter(|s| s.holds_resources()) {
         if let Some(spec) = &slot.spec
             && spec.shape == Shape::Service
         {
--- a/crates/pulleywood-scheduler/src/placement/victims.rs
+++ b/crates/pulleywood-scheduler/src/placement/victims.rs
@@ -75,10 +75,10 @@
     ) -> Vec<Victim> {
         let mut preemptable: Vec<Victim> = Vec::new();
         for (at, slot) in candidate.slots.iter().enumerate() {
-            let Some(victim) = slot.spec.as_ref().filter(|_| slot.holds_room()) else {
+            let Some(victim) = slot.spec.as_ref().filter(|_| slot.holds_resources()) else {
                 continue;
             };
-            let stopping = slot.stop.is_some()
+            let stopping = slot.stop_grace_s.is_some()
                 || candidate
                     .preemptions
                     .iter()
--- a/crates/pulleywood-scheduler/src/shard/batch_builder.rs
+++ b/crates/pulleywood-scheduler/src/shard/batch_builder.rs
@@ -46,7 +46,7 @@
     /// Chunks of its done tasks that are written.
     pub chunks: BTreeSet<u32>,
     /// Its final record, if all its tasks are done.
-    pub over: Option<FinalRecord>,
+    pub final_record: Option<FinalRecord>,
 }
 
 /// Where a job's record is stored.
@@ -67,7 +67,7 @@
     /// Chunks of its done tasks to write, of which its record holds the first.
     chunks: BTreeSet<u32>,
     /// Its final record, if all its tasks are done: it replaces the other records.
-    over: Option<FinalRecord>,
+    final_record: Option<FinalRecord>,
 }
 
 impl<'a> JobWrites<'a> {
@@ -78,7 +78,7 @@
         job_batches: &JobBatches,
         config: &Config,
     ) -> Option<JobWrites<'a>> {
-        let stored_in = if job.in_batch {
+        let stored_in = if job.in_job_batch {
             StoredIn::JobBatch(job_batches.find(id)?)
         } else {
             StoredIn::OwnRecord
@@ -99,13 +99,13 @@
             stored_in,
             tasks,
             chunks,
-            over,
+            final_record: over,
         })
     }
 
     /// Keys it changes, besides its job batch.
     fn operations(&self) -> usize {
-        match (&self.over, self.stored_in) {
+        match (&self.final_record, self.stored_in) {
             (Some(_), StoredIn::JobBatch(_)) => 1,
             (Some(_), StoredIn::OwnRecord) => 2 + self.job.chunk_revisions.len(),
             (None, _) => self.chunks.len(),
@@ -170,7 +170,7 @@
         let key = job_key(writes.id.shard(self.config.shards), writes.id);
         let mut transaction = std::mem::take(&mut self.transaction);
         transaction = transaction.when(key.clone(), record_revision);
-        self.transaction = match &writes.over {
+        self.transaction = match &writes.final_record {
             Some(over) => self.finish_job(transaction, key, &writes, over),
             None => self.record_chunks(transaction, key, &writes),
         };
@@ -178,7 +178,7 @@
             id: writes.id.clone(),
             tasks: writes.tasks,
             chunks: writes.chunks,
-            over: writes.over,
+            final_record: writes.final_record,
         });
     }
 
@@ -216,7 +216,7 @@
             let done = job.done.chunk_text(chunk, self.config.chunk);
             self.value_bytes += done.len() + JOB_RECORD_BYTES;
             if chunk == 0 {
-                transaction = transaction.write(key.clone(), &job.record(done));
+                transaction = transaction.write(key.clone(), &job.to_record(done));
                 continue;
             }
             let key = chunk_key(id.shard(self.config.shards), id, chunk);
--- a/crates/pulleywood-scheduler/src/shard/digest.rs
+++ b/crates/pulleywood-scheduler/src/shard/digest.rs
@@ -35,20 +35,20 @@
 impl ShardState {
     /// The shard's digest.
     pub fn digest(&self, now: MonotonicTime, config: &Config) -> ShardDigest {
-        let used = self.used(config);
+        let used = self.usage_by_team(config);
         let waiting = self.waiting_work(&used, now, config);
         let stuck = waiting.quota_blocks_all.into_iter().filter(|(_, all)| *all);
         ShardDigest {
             shard: self.shard,
-            rebuilding: self.rebuilding(),
+            rebuilding: self.is_rebuilding(),
             demand: waiting.demand,
             displaced: self.displaced_demand(config),
-            reserve: self.reserve(),
+            reserve: self.service_reservations(),
             machines: self.machine_digests(now, config),
             used,
             wanted: waiting.wanted,
             stuck: stuck.map(|(team, _)| team.to_owned()).collect(),
-            running: self.all_running(),
+            running: self.running_tasks_by_job(),
         }
     }
 
@@ -70,7 +70,7 @@
             if team.limited() {
                 self.add_wanted(&mut work, job, count, used, team.limit);
             }
-            if job.health.is_held(now) || (broken && !self.machines.is_empty()) {
+            if job.health.is_backing_off(now) || (broken && !self.machines.is_empty()) {
                 continue;
             }
             let most = if broken { 1 } else { u32::MAX };
@@ -102,7 +102,7 @@
 
     fn displaced_demand(&self, config: &Config) -> Vec<Demand> {
         let mut displaced = Vec::new();
-        for (id, count) in self.displaced(config) {
+        for (id, count) in self.displaced_task_counts(config) {
             if let Some(job) = self.jobs.get(id) {
                 add_demand(&mut displaced, demand_of(job, Vec::new(), count));
             }
@@ -112,14 +112,14 @@
 
     /// Tasks of array jobs on machines of types that the jobs should leave to work
     /// with fewer types to choose from, by job.
-    fn displaced(&self, config: &Config) -> BTreeMap<&JobId, u32> {
+    fn displaced_task_counts(&self, config: &Config) -> BTreeMap<&JobId, u32> {
         let mut counts = BTreeMap::new();
         if config.flavors.len() <= 1 {
             return counts;
         }
         let mut left_by_job: BTreeMap<&JobId, MachineTypes> = BTreeMap::new();
         for machine in self.machines.values() {
-            for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+            for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
                 let Some(spec) = &slot.spec else { continue };
                 if spec.shape != Shape::Array {
                     continue;
@@ -127,7 +127,7 @@
                 let id = &slot.task.job;
                 let left_to_others = left_by_job
                     .entry(id)
-                    .or_insert_with(|| self.choices.left_by_job(config, spec));
+                    .or_insert_with(|| self.machine_type_demand.left_by_job(config, spec));
                 if left_to_others.contains(&machine.record.flavor) {
                     *counts.entry(id).or_insert(0) += 1;
                 }
@@ -138,7 +138,7 @@
 
     /// What the largest service job of each class needs, to be kept free for the next
     /// one: in each zone as much as it may have there if it is spread.
-    fn reserve(&self) -> Vec<Demand> {
+    fn service_reservations(&self) -> Vec<Demand> {
         let mut reserve = Vec::new();
         for job in self.largest_services() {
             let spec = &job.spec;
@@ -193,7 +193,7 @@
         if spec.tasks == 1 || (!spec.one_zone && !spec.spread) {
             return vec![(Vec::new(), waiting)];
         }
-        let placed = self.by_zone(job);
+        let placed = self.task_counts_by_zone(job);
         if spec.one_zone {
             return vec![(placed.into_keys().collect(), waiting)];
         }
@@ -212,7 +212,7 @@
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         let mut unbound = 0;
         for index in job.waiting.iter() {
-            match job.bound.get(&index) {
+            match job.zone_bindings.get(&index) {
                 Some(zone) => *counts.entry(zone.clone()).or_insert(0) += 1,
                 None => unbound += 1,
             }
@@ -252,9 +252,9 @@
         .unwrap_or_default();
     let usable = machine.confirmed
         && !machine.is_inbound_partitioned(now, config)
-        && machine.stays_in_use(now);
-    let free = if usable && !machine.has_foreign() {
-        machine.free(whole)
+        && machine.remains_in_service(now);
+    let free = if usable && !machine.has_unknown_attempts() {
+        machine.free_resources(whole)
     } else {
         ResourceVector::default()
     };
@@ -266,12 +266,12 @@
         gpus: free.gpus,
         memory_gb: free.memory_gb,
         idle_s: idle_since.map_or(UNKNOWN_S, seconds_since),
-        heartbeat_age_s: machine.answered.map_or(UNKNOWN_S, seconds_since),
-        lost_s: seconds_since(machine.lost_since),
+        heartbeat_age_s: machine.last_response_at.map_or(UNKNOWN_S, seconds_since),
+        lost_s: seconds_since(machine.last_round_trip_at),
         unreported: machine.unreported,
-        quarantined: machine.quarantined || machine.taken_at.is_some(),
-        pinned: machine.pinned().share_of(&whole),
-        held: machine.held(),
+        quarantined: machine.quarantined || machine.reclaim_at.is_some(),
+        pinned: machine.pinned_resources().share_of(&whole),
+        held: machine.resources_by_rank(),
     }
 }
 
--- a/crates/pulleywood-scheduler/src/shard/done_batch.rs
+++ b/crates/pulleywood-scheduler/src/shard/done_batch.rs
@@ -20,12 +20,12 @@
 
 /// How urgently a job's done tasks are committed, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum CommitUrgency {
     /// Its user waits to hear that it is done, or other shards wait for this shard's
     /// share of it.
-    Now,
+    Immediate,
     /// Its done tasks have waited long enough.
-    Aged,
+    Overdue,
 }
 
 impl Job {
@@ -35,24 +35,24 @@
     /// a task whose result is lost with its machine exits as done at once when it is
     /// launched again. So done tasks are collected until the job, or this shard's share
     /// of it, is done, or the first of them has waited for [`Config::done_age`].
-    fn due(&self, now: MonotonicTime, config: &Config) -> Option<Due> {
+    fn commit_urgency(&self, now: MonotonicTime, config: &Config) -> Option<CommitUrgency> {
         if self.is_complete() || self.needs_rewrite {
-            return Some(Due::Now);
+            return Some(CommitUrgency::Immediate);
         }
         if !self.has_uncommitted() {
             return None;
         }
         if self.assigned.iter().all(|i| self.done.contains(i)) {
-            return Some(Due::Now);
+            return Some(CommitUrgency::Immediate);
         }
         let aged = self
-            .done_since
+            .uncommitted_since
             .is_none_or(|at| now.since(at) >= config.done_age());
-        aged.then_some(Due::Aged)
+        aged.then_some(CommitUrgency::Overdue)
     }
 
     /// What was written of it is stored at this revision.
-    fn mark_applied(&mut self, applied: &BatchJob, revision: Revision) {
+    fn mark_written(&mut self, applied: &BatchJob, revision: Revision) {
         for &index in &applied.tasks {
             self.committed.insert(index);
         }
@@ -61,7 +61,7 @@
                 if revision > self.revision {
                     self.resolve_offer();
                 }
-                self.in_batch = false;
+                self.in_job_batch = false;
                 self.revision = self.revision.max(revision);
             } else {
                 let known = self.chunk_revisions.entry(chunk).or_default();
@@ -73,11 +73,11 @@
 
 impl ShardState {
     /// Jobs with done tasks to commit now, most urgent first.
-    fn due(&self, now: MonotonicTime, config: &Config) -> Vec<(Due, &JobId)> {
-        let mut due: Vec<(Due, &JobId)> = self
+    fn jobs_to_commit(&self, now: MonotonicTime, config: &Config) -> Vec<(CommitUrgency, &JobId)> {
+        let mut due: Vec<(CommitUrgency, &JobId)> = self
             .dirty_jobs
             .iter()
-            .filter_map(|id| Some((self.jobs.get(id)?.due(now, config)?, id)))
+            .filter_map(|id| Some((self.jobs.get(id)?.commit_urgency(now, config)?, id)))
             .collect();
         due.sort();
         due
@@ -90,14 +90,14 @@
             let idle = machine
                 .idle_since
                 .is_some_and(|at| now.since(at) >= IDLE_BEFORE_COMMIT);
-            if machine.slots.is_empty() || (machine.taken_at.is_none() && !idle) {
+            if machine.slots.is_empty() || (machine.reclaim_at.is_none() && !idle) {
                 continue;
             }
             for slot in &machine.slots {
                 if slot.state == (SlotState::Exited { done: true })
                     && let Some(job) = self.jobs.get_mut(&slot.task.job)
                 {
-                    job.done_since = None;
+                    job.uncommitted_since = None;
                 }
             }
         }
@@ -105,7 +105,7 @@
 
     /// The next batch, conditioned on the shard's revision and on every key it
     /// changes. None if there is nothing to commit.
-    pub fn batch(
+    pub fn next_batch(
         &self,
         shard_revision: Revision,
         job_batches: &JobBatches,
@@ -113,7 +113,7 @@
         config: &Config,
     ) -> Option<Batch> {
         let mut builder = BatchBuilder::new(self.shard, shard_revision, config);
-        for (_, id) in self.due(now, config) {
+        for (_, id) in self.jobs_to_commit(now, config) {
             let Some(job) = self.jobs.get(id) else {
                 continue;
             };
@@ -129,27 +129,27 @@
     }
 
     /// A batch was committed at this revision: its tasks may be cleared from now on.
-    pub fn batch_applied(&mut self, batch: &Batch, revision: Revision) {
+    pub fn mark_batch_committed(&mut self, batch: &Batch, revision: Revision) {
         for applied in &batch.jobs {
-            if applied.over.is_some() {
-                self.drop_job(&applied.id);
+            if applied.final_record.is_some() {
+                self.remove_job(&applied.id);
                 continue;
             }
             let Some(job) = self.jobs.get_mut(&applied.id) else {
                 continue;
             };
-            job.mark_applied(applied, revision);
+            job.mark_written(applied, revision);
             if !job.has_uncommitted() && job.done.len() < job.spec.tasks {
                 self.dirty_jobs.remove(&applied.id);
-                job.done_since = None;
+                job.uncommitted_since = None;
             }
         }
     }
 
     /// Whether the next batch is urgent: it ends a job, or this shard's share of one,
     /// for which its user waits. None: there is nothing to commit.
-    pub fn has_batch(&self, now: MonotonicTime, config: &Config) -> Option<bool> {
-        let due = self.due(now, config);
-        Some(due.first()?.0 == Due::Now)
+    pub fn next_batch_is_urgent(&self, now: MonotonicTime, config: &Config) -> Option<bool> {
+        let due = self.jobs_to_commit(now, config);
+        Some(due.first()?.0 == CommitUrgency::Immediate)
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
+++ b/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
@@ -24,7 +24,7 @@
 impl ShardState {
     /// A task of a job failed after running for `ran`, on a machine that is taken out
     /// of `machines` meanwhile.
-    pub(super) fn task_failed(
+    pub(super) fn record_task_failure(
         &mut self,
         id: &JobId,
         machine: &MachineId,
@@ -34,9 +34,9 @@
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        self.failing.insert(id.clone());
+        self.failing_jobs.insert(id.clone());
         if job.health.record_failure(machine, ran, now) {
-            self.health_events.push(HealthEvent::Broken(id.clone()));
+            self.health_events.push(HealthEvent::JobBroken(id.clone()));
         }
     }
 
@@ -44,32 +44,32 @@
     /// and quarantines machines by these. Returns whether a job or a machine can be
     /// used again or no longer.
     pub(super) fn attribute_failures(&mut self, now: MonotonicTime, config: &Config) -> bool {
-        let recovered = self.blame_machines_of_well_jobs(now);
+        let recovered = self.attribute_failures_of_healthy_jobs(now);
         let quarantines = self.update_quarantines(config);
         recovered || quarantines
     }
 
     /// Returns whether a broken job runs well again.
-    fn blame_machines_of_well_jobs(&mut self, now: MonotonicTime) -> bool {
+    fn attribute_failures_of_healthy_jobs(&mut self, now: MonotonicTime) -> bool {
         let mut recovered = false;
-        for id in std::mem::take(&mut self.failing) {
+        for id in std::mem::take(&mut self.failing_jobs) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if !self.runs_well(&id, job, now) {
-                self.failing.insert(id);
+            if !self.is_running_well(&id, job, now) {
+                self.failing_jobs.insert(id);
                 continue;
             }
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            for machine in job.health.failed_since_well() {
+            for machine in job.health.failed_since_success() {
                 if let Some(machine) = self.machines.get_mut(machine) {
                     machine.failed_jobs.insert(id.clone(), now);
                 }
             }
             if job.health.record_success() {
-                self.health_events.push(HealthEvent::Runs(id));
+                self.health_events.push(HealthEvent::JobRecovered(id));
                 recovered = true;
             }
         }
@@ -87,9 +87,9 @@
             machine.quarantined = quarantined;
             changed = true;
             self.health_events.push(if quarantined {
-                HealthEvent::Quarantined(id.clone())
+                HealthEvent::MachineQuarantined(id.clone())
             } else {
-                HealthEvent::Fit(id.clone())
+                HealthEvent::MachineRestored(id.clone())
             });
         }
         changed
@@ -97,7 +97,7 @@
 
     /// Whether some task of a job is done, or has run for longer than others took to
     /// fail.
-    fn runs_well(&self, id: &JobId, job: &Job, now: MonotonicTime) -> bool {
+    fn is_running_well(&self, id: &JobId, job: &Job, now: MonotonicTime) -> bool {
         let long = RUNS_WELL_AFTER.max(job.health.longest_failed_run() * 2);
         let well = |(index, (machine, attempt)): (&u32, &(MachineId, _))| {
             let slots = self.machines.get(machine).map(|m| &m.slots);
--- a/crates/pulleywood-scheduler/src/shard/fetch_gate.rs
+++ b/crates/pulleywood-scheduler/src/shard/fetch_gate.rs
@@ -16,22 +16,25 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FetchGate {
     /// The gate is open from then on.
-    pub until: MonotonicTime,
+    pub ends_at: MonotonicTime,
     /// Fetches below production rank that may still begin, by zone.
-    pub left: BTreeMap<String, usize>,
+    pub remaining_by_zone: BTreeMap<String, usize>,
 }
 
 impl FetchGate {
     /// Whether a task may be launched now; if so, its fetch is counted.
     pub fn admits(&mut self, machine: &Machine, spec: &JobSpec, now: MonotonicTime) -> bool {
-        let shut = now < self.until && spec.rank < Rank::Production;
+        let shut = now < self.ends_at && spec.rank < Rank::Production;
         if !shut || !begins_fetch(machine, spec) {
             return true;
         }
         if fetches_for_production(machine) {
             return false;
         }
-        let left = self.left.entry(machine.record.zone.clone()).or_default();
+        let left = self
+            .remaining_by_zone
+            .entry(machine.record.zone.clone())
+            .or_default();
         let admitted = *left > 0;
         *left = left.saturating_sub(1);
         admitted
--- a/crates/pulleywood-scheduler/src/shard/health.rs
+++ b/crates/pulleywood-scheduler/src/shard/health.rs
@@ -26,7 +26,7 @@
     /// Machines on which it failed, and when it last did.
     failed_on: BTreeMap<MachineId, MonotonicTime>,
     /// Machines on which it failed since it last ran well anywhere.
-    failed_since_well: BTreeSet<MachineId>,
+    failed_since_success: BTreeSet<MachineId>,
     /// The longest that a task ran before it failed.
     longest_failed_run: Duration,
     broken: bool,
@@ -44,8 +44,8 @@
     ) -> bool {
         self.longest_failed_run = self.longest_failed_run.max(ran);
         self.failed_on.insert(machine.clone(), now);
-        self.failed_since_well.insert(machine.clone());
-        if self.failed_since_well.len() < BROKEN_AFTER_MACHINES && !self.broken {
+        self.failed_since_success.insert(machine.clone());
+        if self.failed_since_success.len() < BROKEN_AFTER_MACHINES && !self.broken {
             return false;
         }
         self.start_back_off(now);
@@ -65,7 +65,7 @@
     /// The job is not launched for 2 to 64 s, longer with each machine on which it
     /// failed since it last ran well.
     pub(super) fn start_back_off(&mut self, now: MonotonicTime) {
-        let machines = self.failed_since_well.len();
+        let machines = self.failed_since_success.len();
         let seconds = 1u64 << machines.clamp(1, MAX_BACK_OFF_EXPONENT);
         self.back_off_until = now + Duration::from_secs(seconds);
     }
@@ -73,14 +73,14 @@
     /// The job ran well, so its earlier failures were the machines'. Returns whether
     /// it was broken until now.
     pub(super) fn record_success(&mut self) -> bool {
-        self.failed_since_well.clear();
+        self.failed_since_success.clear();
         self.back_off_until = MonotonicTime(0);
         std::mem::take(&mut self.broken)
     }
 
     /// Machines on which it failed since it last ran well anywhere.
-    pub(super) fn failed_since_well(&self) -> &BTreeSet<MachineId> {
-        &self.failed_since_well
+    pub(super) fn failed_since_success(&self) -> &BTreeSet<MachineId> {
+        &self.failed_since_success
     }
 
     /// The longest that a task ran before it failed.
@@ -89,7 +89,7 @@
     }
 
     /// Whether the job is in back-off: nothing of it is launched now.
-    pub fn is_held(&self, now: MonotonicTime) -> bool {
+    pub fn is_backing_off(&self, now: MonotonicTime) -> bool {
         now < self.back_off_until
     }
 
@@ -114,11 +114,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HealthEvent {
     /// The job fails on several machines and runs well on none.
-    Broken(JobId),
+    JobBroken(JobId),
     /// A broken job runs well after all.
-    Runs(JobId),
+    JobRecovered(JobId),
     /// The machine fails jobs that run well elsewhere.
-    Quarantined(MachineId),
+    MachineQuarantined(MachineId),
     /// A quarantined machine is used again.
-    Fit(MachineId),
+    MachineRestored(MachineId),
 }
--- a/crates/pulleywood-scheduler/src/shard/heartbeat.rs
+++ b/crates/pulleywood-scheduler/src/shard/heartbeat.rs
@@ -24,14 +24,14 @@
     /// worker here while its lease runs out.
     Superseded,
     /// It was accepted.
-    Fresh,
+    Accepted,
 }
 
 impl ShardState {
     /// Takes a worker's heartbeat. `reply`: it came in reply to a direct command that
     /// the worker executed under the present fencing token, so that answers under
     /// older fencing tokens can no longer reach it.
-    pub fn heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         reply: bool,
@@ -41,16 +41,16 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatOutcome::Unknown;
         };
-        if (heartbeat.incarnation, heartbeat.seq) <= machine.newest {
+        if (heartbeat.incarnation, heartbeat.seq) <= machine.last_message {
             return HeartbeatOutcome::Stale;
         }
-        self.resumption.heard(now, config);
+        self.resumption.record_heartbeat(now, config);
         let fencing_token = machine.fencing_token(self.fencing_token);
         if heartbeat.fencing_token > fencing_token {
             return HeartbeatOutcome::Superseded;
         }
-        let mut usable_changed = machine.note_connection(heartbeat, reply, now);
-        usable_changed |= machine.note_spot_notice(heartbeat, now);
+        let mut usable_changed = machine.update_connectivity(heartbeat, reply, now);
+        usable_changed |= machine.update_reclaim_time(heartbeat, now);
         // A heartbeat from before this fencing token may have been delayed by the
         // network, and older commands may have been executed since. The worker's next
         // one, sent after this answer, shows what it runs.
@@ -59,12 +59,12 @@
             usable_changed |= machine.confirm(reply, now);
         }
         if usable_changed {
-            self.disturb();
+            self.invalidate_plan();
         }
         if trusted {
             self.reconcile(heartbeat, reply, now, config);
         }
-        HeartbeatOutcome::Fresh
+        HeartbeatOutcome::Accepted
     }
 }
 
@@ -73,17 +73,22 @@
     /// last answer. A worker that did sends its next message here; one that did not
     /// tries other controllers first, or its lease expires. Returns whether the
     /// machine became inbound partitioned or ceased to be.
-    fn note_connection(&mut self, heartbeat: &Heartbeat, reply: bool, now: MonotonicTime) -> bool {
+    fn update_connectivity(
+        &mut self,
+        heartbeat: &Heartbeat,
+        reply: bool,
+        now: MonotonicTime,
+    ) -> bool {
         let number = (heartbeat.incarnation, heartbeat.seq);
-        self.newest = number;
-        self.heard = Some(now);
-        let Some((incarnation, seq)) = self.awaits.take() else {
+        self.last_message = number;
+        self.last_heartbeat_at = Some(now);
+        let Some((incarnation, seq)) = self.unacknowledged_response.take() else {
             return false;
         };
         let received_answer = number == (incarnation, seq + 1);
         if reply {
             // It came between an answer and the heartbeat that follows.
-            self.awaits = Some(if received_answer {
+            self.unacknowledged_response = Some(if received_answer {
                 number
             } else {
                 (incarnation, seq)
@@ -93,7 +98,7 @@
         let was_partitioned = self.inbound_partitioned_since.is_some();
         if received_answer {
             self.inbound_partitioned_since = None;
-            self.lost_since = now;
+            self.last_round_trip_at = now;
         } else {
             self.inbound_partitioned_since.get_or_insert(now);
         }
@@ -102,10 +107,10 @@
 
     /// Notes when the cloud reclaims the machine, if it gave notice. Returns
     /// whether a notice was given or withdrawn.
-    fn note_spot_notice(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> bool {
+    fn update_reclaim_time(&mut self, heartbeat: &Heartbeat, now: MonotonicTime) -> bool {
         let reclaim_at = heartbeat.notice_s.map(|s| now + secs(s.0));
-        let changed = reclaim_at.is_some() != self.taken_at.is_some();
-        self.taken_at = reclaim_at;
+        let changed = reclaim_at.is_some() != self.reclaim_at.is_some();
+        self.reclaim_at = reclaim_at;
         changed
     }
 
@@ -113,7 +118,7 @@
     fn confirm(&mut self, reply: bool, now: MonotonicTime) -> bool {
         if reply {
             // Its lease cannot last longer than if it had sent a heartbeat now.
-            self.answered = self.answered.max(Some(now));
+            self.last_response_at = self.last_response_at.max(Some(now));
         }
         let first = !self.confirmed || self.unreported;
         self.confirmed = true;
--- a/crates/pulleywood-scheduler/src/shard/job.rs
+++ b/crates/pulleywood-scheduler/src/shard/job.rs
@@ -17,11 +17,11 @@
     /// The job as it was submitted.
     pub spec: Arc<JobSpec>,
     /// When it was submitted, in milliseconds of the accepting controller's time of day.
-    pub at_ms: u64,
+    pub submitted_at_ms: u64,
     /// Revision of its record, or of the job batch it was accepted in.
     pub revision: Revision,
     /// It is still stored in that job batch and has no record of its own.
-    pub in_batch: bool,
+    pub in_job_batch: bool,
     /// Revisions of the chunk records that continue its set of done tasks, by chunk.
     pub(super) chunk_revisions: BTreeMap<u32, Revision>,
     /// The shard that accepted it.
@@ -36,7 +36,7 @@
     /// The zone that the offered tasks are bound to.
     pub(super) offered_zone: Option<String>,
     /// Zones that tasks transferred to this shard are bound to, by task.
-    pub bound: BTreeMap<u32, String>,
+    pub zone_bindings: BTreeMap<u32, String>,
     /// How many tasks transferred to other shards are bound to each zone.
     pub(super) transferred_by_zone: BTreeMap<String, u32>,
     /// The record must be rewritten unchanged, to resolve an offer whose outcome
@@ -48,7 +48,7 @@
     pub committed: TaskSet,
     /// Since when a done task waits for its commit. None: it is committed with
     /// the next batch.
-    pub(super) done_since: Option<MonotonicTime>,
+    pub(super) uncommitted_since: Option<MonotonicTime>,
     /// Tasks to launch.
     pub waiting: TaskSet,
     /// Tasks that run or may run, with their machine and attempt.
@@ -57,7 +57,7 @@
     pub(super) gang_attempt: Option<Attempt>,
     /// A task of the gang's present attempt ended without being done: the others
     /// end too, and none is launched until they have.
-    pub broken: bool,
+    pub gang_interrupted: bool,
     /// An earlier leader may have launched tasks of it.
     pub(super) maybe_launched_before: bool,
     /// Its user is cancelling it: nothing of it is launched until then. Only its
@@ -66,7 +66,7 @@
     /// What its failures show.
     pub health: Health,
     /// When this leader first saw it.
-    pub(super) first_seen: MonotonicTime,
+    pub(super) first_seen_at: MonotonicTime,
 }
 
 impl Job {
@@ -83,29 +83,29 @@
         let zones = ZoneBindings::of(record, shard);
         Job {
             spec: Arc::new(record.spec.clone()),
-            at_ms: record.at_ms,
+            submitted_at_ms: record.at_ms,
             revision,
-            in_batch: false,
+            in_job_batch: false,
             chunk_revisions: BTreeMap::new(),
             submitting_shard: record.shard,
             transferred: record.transferred.clone(),
             assigned,
             offered: TaskSet::new(),
             offered_zone: None,
-            bound: zones.bound_here,
+            zone_bindings: zones.bound_here,
             transferred_by_zone: zones.transferred_by_zone,
             needs_rewrite: false,
             done: TaskSet::new(),
             committed: TaskSet::new(),
-            done_since: None,
+            uncommitted_since: None,
             waiting: TaskSet::new(),
             active: BTreeMap::new(),
             gang_attempt: None,
-            broken: false,
+            gang_interrupted: false,
             maybe_launched_before,
             cancelling_until: MonotonicTime(0),
             health: Health::default(),
-            first_seen: now,
+            first_seen_at: now,
         }
     }
 
@@ -119,11 +119,11 @@
         committed: &TaskSet,
     ) {
         let zones = ZoneBindings::of(record, shard);
-        self.in_batch = false;
+        self.in_job_batch = false;
         self.revision = revision;
         self.transferred.clone_from(&record.transferred);
         self.assigned = record.share(shard);
-        self.bound = zones.bound_here;
+        self.zone_bindings = zones.bound_here;
         self.transferred_by_zone = zones.transferred_by_zone;
         self.mark_committed(committed);
         self.resolve_offer();
@@ -187,7 +187,7 @@
         }
         self.waiting.remove(index);
         if !self.has_uncommitted() {
-            self.done_since = Some(now);
+            self.uncommitted_since = Some(now);
         }
         self.done.insert(index)
     }
@@ -207,7 +207,8 @@
             return;
         }
         self.active.remove(&index);
-        self.broken = !self.active.is_empty() && (self.broken || !self.done.contains(index));
+        self.gang_interrupted =
+            !self.active.is_empty() && (self.gang_interrupted || !self.done.contains(index));
         if self.active.is_empty() {
             self.gang_attempt = None;
         }
@@ -225,10 +226,10 @@
     }
 
     /// The record to store, with `done` as the text of its first chunk of done tasks.
-    pub fn record(&self, done: String) -> JobRecord {
+    pub fn to_record(&self, done: String) -> JobRecord {
         JobRecord {
             spec: (*self.spec).clone(),
-            at_ms: self.at_ms,
+            at_ms: self.submitted_at_ms,
             shard: self.submitting_shard,
             transferred: self.transferred.clone(),
             done,
--- a/crates/pulleywood-scheduler/src/shard/jobs.rs
+++ b/crates/pulleywood-scheduler/src/shard/jobs.rs
@@ -51,7 +51,7 @@
         self.attach_seen_attempts(id);
         // A record may hold all tasks as done if its last batch was split.
         self.dirty_jobs.insert(id.clone());
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// Machines may have shown tasks of a job before its record came, or before its
@@ -66,7 +66,7 @@
             for slot in machine.slots.iter_mut().filter(|s| s.task.job == *id) {
                 let index = slot.task.index;
                 let unfinished = job.assigned.contains(index) && !job.done.contains(index);
-                if slot.holds_room() && unfinished && !job.active.contains_key(&index) {
+                if slot.holds_resources() && unfinished && !job.active.contains_key(&index) {
                     job.mark_active(index, machine_id.clone(), slot.attempt);
                     slot.spec = Some(Arc::clone(&job.spec));
                 }
@@ -90,7 +90,7 @@
         }
         self.put_job(record, revision, maybe_launched_before, now, config);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.in_batch = true;
+            job.in_job_batch = true;
         }
     }
 
@@ -120,23 +120,23 @@
 
     /// A job's record is gone: it is done or cancelled. What still runs of it is
     /// stopped without leeway, and counts until a heartbeat lacks it.
-    pub fn drop_job(&mut self, id: &JobId) {
+    pub fn remove_job(&mut self, id: &JobId) {
         let known = self.jobs.remove(id).is_some();
         if !self.unreadable_jobs.remove(id) && !known {
             return;
         }
         for machine in self.machines.values_mut() {
             for slot in machine.slots.iter_mut().filter(|s| &s.task.job == id) {
-                slot.stop = Some(0.0);
+                slot.stop_grace_s = Some(0.0);
             }
         }
         self.dirty_jobs.remove(id);
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// A job's record appeared or changed and cannot be read: what runs of it is
     /// left alone, and nothing of it is launched.
-    pub fn block_job(&mut self, id: &JobId) {
+    pub fn mark_job_unreadable(&mut self, id: &JobId) {
         let known = self.jobs.remove(id).is_some();
         self.unreadable_jobs.insert(id.clone());
         if !known {
@@ -150,22 +150,22 @@
             }
         }
         self.dirty_jobs.remove(id);
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// A job's user is cancelling it: nothing of it is launched until its record
     /// changes or this time has come. It ends nothing, as the cancellation may fail.
-    pub fn cancelling(&mut self, id: &JobId, until: MonotonicTime) {
+    pub fn hold_for_cancellation(&mut self, id: &JobId, until: MonotonicTime) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelling_until = job.cancelling_until.max(until);
-            self.disturb();
+            self.invalidate_plan();
         }
     }
 
     /// When a job was submitted, on this process's clock.
-    pub(crate) fn submitted(&self, job: &Job) -> MonotonicTime {
-        let at = i64::try_from(job.at_ms).unwrap_or(i64::MAX);
-        MonotonicTime(at.saturating_add(self.day_offset_ms).max(0) as u64)
+    pub(crate) fn submitted_at(&self, job: &Job) -> MonotonicTime {
+        let at = i64::try_from(job.submitted_at_ms).unwrap_or(i64::MAX);
+        MonotonicTime(at.saturating_add(self.wall_clock_offset_ms).max(0) as u64)
     }
 }
 
--- a/crates/pulleywood-scheduler/src/shard/launch.rs
+++ b/crates/pulleywood-scheduler/src/shard/launch.rs
@@ -18,7 +18,7 @@
 impl ShardState {
     /// Commands for a machine whose heartbeat has just been accepted. `launch`: the
     /// controller's lease surely lasts until the answer is sent.
-    pub fn answer(
+    pub fn response_commands(
         &mut self,
         id: &MachineId,
         launch: bool,
@@ -27,16 +27,17 @@
     ) -> Vec<Command> {
         let planned = if launch {
             self.replan(id, now, config);
-            self.plan.remove(id).unwrap_or_default()
+            self.planned_launches.remove(id).unwrap_or_default()
         } else {
             Vec::new()
         };
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
         };
-        machine.answered = machine.answered.max(Some(now));
-        machine.awaits = Some(machine.newest);
-        let mut commands = standing_commands(&machine.slots, &self.jobs, &self.unreadable_jobs);
+        machine.last_response_at = machine.last_response_at.max(Some(now));
+        machine.unacknowledged_response = Some(machine.last_message);
+        let mut commands =
+            stop_and_clear_commands(&machine.slots, &self.jobs, &self.unreadable_jobs);
         if !machine.accepts_launches() {
             return commands;
         }
@@ -46,14 +47,14 @@
             machine,
             jobs: &mut self.jobs,
             fetch_gate: &mut self.fetch_gate,
-            attempts: &mut self.attempts,
+            attempts: &mut self.attempts_issued,
             now,
         };
         for task in planned {
             match launcher.launch(task) {
-                Launch::Command(command) => commands.push(command),
-                Launch::NotNow => {}
-                Launch::NoAttemptsLeft => break,
+                LaunchOutcome::Command(command) => commands.push(command),
+                LaunchOutcome::Skipped => {}
+                LaunchOutcome::AttemptsExhausted => break,
             }
         }
         commands
@@ -64,7 +65,7 @@
     pub fn direct_commands(&self, id: &MachineId) -> Vec<Command> {
         self.machines
             .get(id)
-            .map(|m| standing_commands(&m.slots, &self.jobs, &self.unreadable_jobs))
+            .map(|m| stop_and_clear_commands(&m.slots, &self.jobs, &self.unreadable_jobs))
             .unwrap_or_default()
     }
 }
@@ -81,12 +82,12 @@
 }
 
 /// What became of a planned launch.
-enum Launch {
+enum LaunchOutcome {
     Command(Command),
     /// The task does not wait any more, or its image fetch yields to a service's.
-    NotNow,
+    Skipped,
     /// The fencing token has used up its attempts.
-    NoAttemptsLeft,
+    AttemptsExhausted,
 }
 
 /// Launches planned tasks on one machine.
@@ -102,37 +103,37 @@
 }
 
 impl Launcher<'_> {
-    fn launch(&mut self, task: TaskId) -> Launch {
+    fn launch(&mut self, task: TaskId) -> LaunchOutcome {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return Launch::NotNow;
+            return LaunchOutcome::Skipped;
         };
         let waits = job.waiting.contains(task.index) && self.now >= job.cancelling_until;
         if !waits || job.active.contains_key(&task.index) {
-            return Launch::NotNow;
+            return LaunchOutcome::Skipped;
         }
         if let Some(gate) = self.fetch_gate
             && !gate.admits(self.machine, &job.spec, self.now)
         {
-            return Launch::NotNow;
+            return LaunchOutcome::Skipped;
         }
         let shared = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
         let Some(attempt) = shared.or_else(|| next_attempt(self.fencing_token, self.attempts))
         else {
-            return Launch::NoAttemptsLeft;
+            return LaunchOutcome::AttemptsExhausted;
         };
         job.mark_active(task.index, self.machine_id.clone(), attempt);
-        let (incarnation, seq) = self.machine.newest;
+        let (incarnation, seq) = self.machine.last_message;
         self.machine.slots.push(Slot {
             task: task.clone(),
             attempt,
             state: SlotState::Sent { incarnation, seq },
             spec: Some(Arc::clone(&job.spec)),
-            stop: None,
-            since: self.now,
+            stop_grace_s: None,
+            created_at: self.now,
             running_since: None,
         });
         self.machine.idle_since = None;
-        Launch::Command(Command::Launch { task, attempt })
+        LaunchOutcome::Command(Command::Launch { task, attempt })
     }
 }
 
@@ -145,20 +146,22 @@
 
 /// Stops and clears for the attempts on a machine. Attempts of unreadable jobs get
 /// none.
-fn standing_commands(
+fn stop_and_clear_commands(
     slots: &[Slot],
     jobs: &BTreeMap<JobId, Job>,
     unreadable: &BTreeSet<JobId>,
 ) -> Vec<Command> {
     let readable = slots.iter().filter(|s| !unreadable.contains(&s.task.job));
-    readable.filter_map(|s| standing_command(s, jobs)).collect()
+    readable
+        .filter_map(|s| stop_or_clear_command(s, jobs))
+        .collect()
 }
 
-fn standing_command(slot: &Slot, jobs: &BTreeMap<JobId, Job>) -> Option<Command> {
+fn stop_or_clear_command(slot: &Slot, jobs: &BTreeMap<JobId, Job>) -> Option<Command> {
     let (task, attempt) = (slot.task.clone(), slot.attempt);
-    match (slot.state, slot.stop) {
+    match (slot.state, slot.stop_grace_s) {
         (SlotState::Exited { done }, _) => {
-            let may_be_cleared = !done || is_recorded(&task, jobs);
+            let may_be_cleared = !done || has_nothing_to_commit(&task, jobs);
             may_be_cleared.then_some(Command::Clear { task, attempt })
         }
         // It saves already: only a stop without leeway tells it anything new.
@@ -173,7 +176,7 @@
 }
 
 /// Whether nothing about a done task is left to commit.
-fn is_recorded(task: &TaskId, jobs: &BTreeMap<JobId, Job>) -> bool {
+fn has_nothing_to_commit(task: &TaskId, jobs: &BTreeMap<JobId, Job>) -> bool {
     jobs.get(&task.job)
         .is_none_or(|job| job.spec.shape == Shape::Service || job.committed.contains(task.index))
 }
--- a/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
+++ b/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
@@ -23,12 +23,16 @@
         let mut ended: Vec<Slot> = Vec::new();
         let mut changed = false;
         for machine in self.machines.values_mut() {
-            let expired = machine.is_lease_surely_expired(now, config);
+            let expired = machine.has_lease_expired(now, config);
             if machine.unreported && expired && now >= self.previous_launches_until {
                 machine.unreported = false;
                 changed = true;
             }
-            if expired && machine.answered.is_some() && !machine.unreported && machine.confirmed {
+            if expired
+                && machine.last_response_at.is_some()
+                && !machine.unreported
+                && machine.confirmed
+            {
                 // Its worker has killed and forgotten everything.
                 machine.confirmed = false;
                 machine.idle_since = None;
@@ -46,31 +50,31 @@
         }
         changed |= self.attribute_failures(now, config);
         if changed {
-            self.disturb();
+            self.invalidate_plan();
         }
         self.expedite_done_tasks(now);
     }
 }
 
 impl Machine {
-    fn is_lease_surely_expired(&self, now: MonotonicTime, config: &Config) -> bool {
+    fn has_lease_expired(&self, now: MonotonicTime, config: &Config) -> bool {
         let lease = config.lease_surely_expired();
-        self.answered.is_none_or(|at| now >= at + lease)
+        self.last_response_at.is_none_or(|at| now >= at + lease)
     }
 
     /// Stops the tasks that need the time left until the cloud reclaims the machine
     /// to save.
     fn stop_before_reclaim(&mut self, now: MonotonicTime, config: &Config) {
-        let Some(reclaim_at) = self.taken_at else {
+        let Some(reclaim_at) = self.reclaim_at else {
             return;
         };
         let left_s = reclaim_at.since(now).as_secs_f64();
         let interval_s = config.heartbeat_interval.as_secs_f64();
         let margin_s = interval_s * STOP_MARGIN_INTERVALS + STOP_MARGIN_S;
-        for slot in self.slots.iter_mut().filter(|s| s.holds_room()) {
+        for slot in self.slots.iter_mut().filter(|s| s.holds_resources()) {
             let save_s = slot.spec.as_ref().map_or(0.0, |s| s.save_s.0);
-            if slot.stop.is_none() && left_s <= save_s + margin_s {
-                slot.stop = Some(left_s.max(save_s));
+            if slot.stop_grace_s.is_none() && left_s <= save_s + margin_s {
+                slot.stop_grace_s = Some(left_s.max(save_s));
             }
         }
     }
--- a/crates/pulleywood-scheduler/src/shard/machine.rs
+++ b/crates/pulleywood-scheduler/src/shard/machine.rs
@@ -56,16 +56,16 @@
     /// in this shard, and the attempt counts as holding the whole machine.
     pub spec: Option<Arc<JobSpec>>,
     /// It is told to stop, with so many seconds to save its state.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// When it was launched or first seen.
-    pub since: MonotonicTime,
+    pub created_at: MonotonicTime,
     /// When it was first seen running.
     pub running_since: Option<MonotonicTime>,
 }
 
 impl Slot {
     /// Whether it holds resources of its machine.
-    pub fn holds_room(&self) -> bool {
+    pub fn holds_resources(&self) -> bool {
         !matches!(self.state, SlotState::Exited { .. })
     }
 }
@@ -82,25 +82,25 @@
     /// It may run tasks of an earlier leader that this one has not seen.
     pub unreported: bool,
     /// Incarnation and number of the newest message accepted from it.
-    pub newest: (u64, u64),
+    pub last_message: (u64, u64),
     /// When its record appeared.
-    pub(super) joined: MonotonicTime,
+    pub(super) added_at: MonotonicTime,
     /// Arrival of the last heartbeat.
-    pub heard: Option<MonotonicTime>,
+    pub last_heartbeat_at: Option<MonotonicTime>,
     /// Arrival of the last heartbeat that was answered, from which its worker's lease
     /// counts.
-    pub answered: Option<MonotonicTime>,
+    pub last_response_at: Option<MonotonicTime>,
     /// Incarnation and number of the last message accepted before the last answer: the
     /// next heartbeat shows whether the answer arrived.
-    pub(super) awaits: Option<(u64, u64)>,
+    pub(super) unacknowledged_response: Option<(u64, u64)>,
     /// Since when it is inbound partitioned: its heartbeats come, but they show that
     /// answers do not reach its worker. It takes no launches until one shows
     /// otherwise.
     pub inbound_partitioned_since: Option<MonotonicTime>,
     /// When a heartbeat last showed that messages pass both ways.
-    pub(super) lost_since: MonotonicTime,
+    pub(super) last_round_trip_at: MonotonicTime,
     /// When the cloud reclaims it, if it gave notice.
-    pub taken_at: Option<MonotonicTime>,
+    pub reclaim_at: Option<MonotonicTime>,
     /// Attempts on it.
     pub slots: Vec<Slot>,
     /// Names and sizes in GB of the images it has, most recently used last.
@@ -135,14 +135,14 @@
             revision,
             confirmed: false,
             unreported,
-            newest: (0, 0),
-            joined: now,
-            heard: None,
-            answered: None,
-            awaits: None,
+            last_message: (0, 0),
+            added_at: now,
+            last_heartbeat_at: None,
+            last_response_at: None,
+            unacknowledged_response: None,
             inbound_partitioned_since: None,
-            lost_since: now,
-            taken_at: None,
+            last_round_trip_at: now,
+            reclaim_at: None,
             slots: Vec::new(),
             idle_since: None,
             failed_jobs: BTreeMap::new(),
@@ -172,16 +172,16 @@
     }
 
     /// Whether attempts of jobs that are not known here hold resources of it.
-    pub fn has_foreign(&self) -> bool {
+    pub fn has_unknown_attempts(&self) -> bool {
         self.slots
             .iter()
-            .any(|s| s.spec.is_none() && s.holds_room())
+            .any(|s| s.spec.is_none() && s.holds_resources())
     }
 
     /// What all attempts that hold or may hold resources leave of `whole`.
-    pub fn free(&self, whole: ResourceVector) -> ResourceVector {
+    pub fn free_resources(&self, whole: ResourceVector) -> ResourceVector {
         let mut free = whole;
-        for slot in self.slots.iter().filter(|s| s.holds_room()) {
+        for slot in self.slots.iter().filter(|s| s.holds_resources()) {
             if let Some(spec) = &slot.spec {
                 free -= ResourceVector::of_task(spec);
             }
@@ -197,15 +197,15 @@
     }
 
     /// Whether it is neither leaving, quarantined, being drained nor about to be reclaimed.
-    pub fn stays_in_use(&self, now: MonotonicTime) -> bool {
+    pub fn remains_in_service(&self, now: MonotonicTime) -> bool {
         let drains = now < self.drain_until;
-        !(self.leaving || self.quarantined || drains) && self.taken_at.is_none()
+        !(self.leaving || self.quarantined || drains) && self.reclaim_at.is_none()
     }
 
     /// Resources held by tasks that may not run on spot machines.
-    pub fn pinned(&self) -> ResourceVector {
+    pub fn pinned_resources(&self) -> ResourceVector {
         let mut sum = ResourceVector::default();
-        for slot in self.slots.iter().filter(|s| s.holds_room()) {
+        for slot in self.slots.iter().filter(|s| s.holds_resources()) {
             if let Some(spec) = slot.spec.as_ref().filter(|s| !s.spot) {
                 sum += ResourceVector::of_task(spec);
             }
@@ -214,9 +214,9 @@
     }
 
     /// Processors, GPUs and GB of memory held by each rank, lowest rank first.
-    pub fn held(&self) -> Vec<(Rank, f64, f64, f64)> {
+    pub fn resources_by_rank(&self) -> Vec<(Rank, f64, f64, f64)> {
         let mut held: BTreeMap<Rank, ResourceVector> = BTreeMap::new();
-        for slot in self.slots.iter().filter(|s| s.holds_room()) {
+        for slot in self.slots.iter().filter(|s| s.holds_resources()) {
             if let Some(spec) = &slot.spec {
                 *held.entry(spec.rank).or_default() += ResourceVector::of_task(spec);
             }
@@ -228,7 +228,7 @@
 
     /// An image was used: it is the last to be evicted from the machine's cache of
     /// `cache_gb`, as far as is known of the worker's cache.
-    pub(super) fn touch_image(&mut self, name: &str, gb: f64, cache_gb: f64) {
+    pub(super) fn mark_image_used(&mut self, name: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(n, _)| n != name);
         self.images.push_back((name.to_owned(), gb));
         while self.images.len() > 1 && self.images.iter().map(|(_, gb)| gb).sum::<f64>() > cache_gb
--- a/crates/pulleywood-scheduler/src/shard/machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/machines.rs
@@ -35,18 +35,18 @@
                 self.machines.insert(id.clone(), machine);
             }
         }
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// A machine left the shard: the cloud confirmed its release, or it was moved
     /// while idle. Its tasks wait again.
-    pub fn drop_machine(&mut self, id: &MachineId) {
+    pub fn remove_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for slot in &machine.slots {
                 self.end_attempt(&slot.task, slot.attempt);
             }
         }
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// Nothing is launched on these machines until the time given. Machines that are
@@ -57,7 +57,7 @@
                 machine.drain_until = until;
             }
         }
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// Whether the machine holds nothing and may leave the shard.
@@ -69,7 +69,7 @@
 
     /// Machines whose recorded images are out of date, with the record to store: it
     /// lacks one of the most recently used, or names one that is gone.
-    pub fn new_images(&self) -> Vec<(MachineId, MachineRecord)> {
+    pub fn outdated_image_records(&self) -> Vec<(MachineId, MachineRecord)> {
         self.machines
             .iter()
             .filter(|(_, m)| m.confirmed && !m.leaving && !m.record.endpoint.is_empty())
--- a/crates/pulleywood-scheduler/src/shard/mod.rs
+++ b/crates/pulleywood-scheduler/src/shard/mod.rs
@@ -40,7 +40,7 @@
 
 pub use heartbeat::HeartbeatOutcome;
 pub use job::Job;
-pub use reconcile::Started;
+pub use reconcile::TaskStart;
 
 use crate::machine_types::MachineTypeDemand;
 use crate::shard::fetch_gate::FetchGate;
@@ -73,19 +73,19 @@
     /// Until then a machine that has not reported may run tasks of the earlier leader.
     pub previous_launches_until: MonotonicTime,
     /// Slots in use in other shards as they report, by team.
-    pub elsewhere: BTreeMap<String, Slots>,
+    pub usage_in_other_shards: BTreeMap<String, Slots>,
     /// The cluster's zones.
     pub zones: Vec<String>,
     /// Machine types that recent work could run on, in this shard and in others.
-    pub choices: MachineTypeDemand,
+    pub machine_type_demand: MachineTypeDemand,
     /// When heartbeats resumed after none had come for a while.
     pub resumption: Resumption,
     /// While the shard recovers: holds back image fetches below production rank.
     pub fetch_gate: Option<FetchGate>,
     /// Milliseconds to add to a time of day to get this process's time.
-    pub day_offset_ms: i64,
+    pub wall_clock_offset_ms: i64,
     /// Tasks to launch on each machine in the answer to its next heartbeat.
-    pub(crate) plan: BTreeMap<MachineId, Vec<TaskId>>,
+    pub(crate) planned_launches: BTreeMap<MachineId, Vec<TaskId>>,
     /// When the plan was made. None: it must be made anew.
     pub(crate) planned_at: Option<MonotonicTime>,
     /// Jobs that may have something to commit.
@@ -93,11 +93,11 @@
     /// Machines examined for jobs by all plans so far: the cost of planning.
     pub candidates_examined: u64,
     /// Attempts issued under the fencing token.
-    attempts: u64,
+    attempts_issued: u64,
     /// Tasks first seen running since this was last asked for.
-    started: Vec<Started>,
+    task_starts: Vec<TaskStart>,
     /// Jobs that failed and have not been seen to run well since.
-    failing: BTreeSet<JobId>,
+    failing_jobs: BTreeSet<JobId>,
     /// What failures showed since this was last asked for.
     health_events: Vec<HealthEvent>,
 }
@@ -119,25 +119,25 @@
             machines: BTreeMap::new(),
             quotas: QuotaRecord::default(),
             previous_launches_until,
-            elsewhere: BTreeMap::new(),
+            usage_in_other_shards: BTreeMap::new(),
             zones,
-            choices: MachineTypeDemand::default(),
+            machine_type_demand: MachineTypeDemand::default(),
             resumption: Resumption::default(),
             fetch_gate: None,
-            day_offset_ms: 0,
-            plan: BTreeMap::new(),
+            wall_clock_offset_ms: 0,
+            planned_launches: BTreeMap::new(),
             planned_at: None,
             dirty_jobs: BTreeSet::new(),
             candidates_examined: 0,
-            attempts: 0,
-            started: Vec::new(),
-            failing: BTreeSet::new(),
+            attempts_issued: 0,
+            task_starts: Vec::new(),
+            failing_jobs: BTreeSet::new(),
             health_events: Vec::new(),
         }
     }
 
     /// Resources or work changed: the plan is made anew before the next launch.
-    pub fn disturb(&mut self) {
+    pub fn invalidate_plan(&mut self) {
         self.planned_at = None;
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/reachability.rs
+++ b/crates/pulleywood-scheduler/src/shard/reachability.rs
@@ -27,13 +27,16 @@
     fn heartbeats_overdue_for(&self, bound: Duration, now: MonotonicTime, config: &Config) -> bool {
         let mut overdue = 0;
         for machine in self.machines.values() {
-            if machine.heard.is_some_and(|at| now.since(at) < bound) {
+            if machine
+                .last_heartbeat_at
+                .is_some_and(|at| now.since(at) < bound)
+            {
                 return false;
             }
             // A machine that joined lately shows nothing yet. If it counted as heard,
             // machines that are moved in every few seconds would hide that no worker
             // reaches this leader.
-            let silence = now.since(machine.heard.unwrap_or(machine.joined));
+            let silence = now.since(machine.last_heartbeat_at.unwrap_or(machine.added_at));
             overdue += usize::from(silence >= bound && silence < config.lease * 2);
         }
         overdue >= MIN_OVERDUE_MACHINES
@@ -62,7 +65,10 @@
     config: &Config,
 ) -> Reachability {
     let interval = config.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(500);
-    let heard = |m: &Machine| m.heard.is_some_and(|at| now.since(at) < interval);
+    let heard = |m: &Machine| {
+        m.last_heartbeat_at
+            .is_some_and(|at| now.since(at) < interval)
+    };
     let mut machines = shards.clone().flat_map(|s| s.machines.values());
     if machines.any(heard) {
         Reachability::Reachable
--- a/crates/pulleywood-scheduler/src/shard/reconcile.rs
+++ b/crates/pulleywood-scheduler/src/shard/reconcile.rs
@@ -15,15 +15,15 @@
 
 /// A task was first seen running.
 #[derive(Debug, Clone)]
-pub struct Started {
+pub struct TaskStart {
     /// The task.
     pub task: TaskId,
     /// Its job's class.
     pub class: String,
     /// From when its job was first seen here to its launch.
-    pub waited: Duration,
+    pub queue_time: Duration,
     /// From its launch to its run: mostly the time to fetch its image.
-    pub fetched: Duration,
+    pub startup_time: Duration,
 }
 
 /// Attempts that a heartbeat lacks.
@@ -53,7 +53,7 @@
             .map_or(0.0, |f| f.cache_gb.0);
         let mut changed = false;
         for seen in &heartbeat.tasks {
-            let known = machine.position(&seen.task, seen.attempt);
+            let known = machine.slot_index(&seen.task, seen.attempt);
             changed |= known.is_none();
             let at = known.unwrap_or_else(|| {
                 machine
@@ -61,9 +61,9 @@
                     .push(self.register_unknown_attempt(id, seen, now));
                 machine.slots.len() - 1
             });
-            changed |= self.observe(id, &mut machine, at, seen, now, cache_gb);
+            changed |= self.update_slot(id, &mut machine, at, seen, now, cache_gb);
         }
-        let ended = machine.drop_unlisted(heartbeat, reply);
+        let ended = machine.remove_unlisted(heartbeat, reply);
         changed |= ended.freed_resources;
         for (task, attempt) in ended.attempts {
             self.end_attempt(&task, attempt);
@@ -71,7 +71,7 @@
         machine.update_idle_since(now);
         self.machines.insert(id.clone(), machine);
         if changed {
-            self.disturb();
+            self.invalidate_plan();
         }
     }
 
@@ -90,8 +90,8 @@
             attempt: seen.attempt,
             state: SlotState::Fetching,
             spec: None,
-            stop: (!unreadable).then_some(0.0),
-            since: now,
+            stop_grace_s: (!unreadable).then_some(0.0),
+            created_at: now,
             running_since: None,
         };
         let index = seen.task.index;
@@ -102,7 +102,7 @@
             let needed = !job.done.contains(index) && !job.active.contains_key(&index);
             if seen.state != TaskState::Exited && needed {
                 job.mark_active(index, machine.clone(), seen.attempt);
-                slot.stop = None;
+                slot.stop_grace_s = None;
             }
         }
         slot
@@ -110,7 +110,7 @@
 
     /// Brings one slot up to what was reported. Returns whether resources were freed
     /// or work to place changed.
-    fn observe(
+    fn update_slot(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
@@ -127,36 +127,36 @@
         slot.state = state;
         if state == SlotState::Running && slot.running_since.is_none() {
             slot.running_since = Some(now);
-            self.record_start(slot, now);
+            self.record_task_start(slot, now);
         }
         let slot = slot.clone();
         if let Some(spec) = &slot.spec
             && matches!(state, SlotState::Running | SlotState::Exited { done: true })
         {
-            machine.touch_image(&spec.image, spec.image_gb.0, cache_gb);
+            machine.mark_image_used(&spec.image, spec.image_gb.0, cache_gb);
         }
         if !matches!(state, SlotState::Exited { .. }) {
             return false;
         }
-        self.observe_exit(id, machine, &slot, seen.cause, now);
+        self.handle_exit(id, machine, &slot, seen.cause, now);
         true
     }
 
     /// Keeps how long a task took to start, for [`ShardState::take_started`].
-    fn record_start(&mut self, slot: &Slot, now: MonotonicTime) {
+    fn record_task_start(&mut self, slot: &Slot, now: MonotonicTime) {
         if let Some(job) = self.jobs.get(&slot.task.job) {
-            self.started.push(Started {
+            self.task_starts.push(TaskStart {
                 task: slot.task.clone(),
                 class: job.spec.class.clone(),
-                waited: slot.since.since(job.first_seen),
-                fetched: now.since(slot.since),
+                queue_time: slot.created_at.since(job.first_seen_at),
+                startup_time: now.since(slot.created_at),
             });
         }
     }
 
     /// An attempt was first seen exited: what follows from the cause, and its task
     /// waits again unless it is done.
-    fn observe_exit(
+    fn handle_exit(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
@@ -164,7 +164,7 @@
         cause: Option<Cause>,
         now: MonotonicTime,
     ) {
-        let (task, launched) = (&slot.task, slot.since);
+        let (task, launched) = (&slot.task, slot.created_at);
         match cause {
             Some(Cause::Done) => {
                 machine.failed_jobs.retain(|_, at| *at > launched);
@@ -176,7 +176,7 @@
             }
             Some(Cause::Error) => {
                 let ran = slot.running_since.map(|at| now.since(at));
-                self.task_failed(&task.job, id, ran.unwrap_or_default(), now);
+                self.record_task_failure(&task.job, id, ran.unwrap_or_default(), now);
             }
             Some(Cause::NoSuch) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -196,13 +196,13 @@
     }
 
     /// Tasks that were first seen running since the last call.
-    pub fn take_started(&mut self) -> Vec<Started> {
-        std::mem::take(&mut self.started)
+    pub fn take_task_starts(&mut self) -> Vec<TaskStart> {
+        std::mem::take(&mut self.task_starts)
     }
 }
 
 impl Machine {
-    fn position(&self, task: &TaskId, attempt: Attempt) -> Option<usize> {
+    fn slot_index(&self, task: &TaskId, attempt: Attempt) -> Option<usize> {
         let same = |s: &Slot| s.task == *task && s.attempt == attempt;
         self.slots.iter().position(same)
     }
@@ -210,7 +210,7 @@
     /// Drops the slots that a heartbeat lacks, except launches that may still be
     /// under way: those answered to this message or a later one, and, if it is a
     /// reply, all of its incarnation, whose answers it may have overtaken.
-    fn drop_unlisted(&mut self, heartbeat: &Heartbeat, reply: bool) -> EndedAttempts {
+    fn remove_unlisted(&mut self, heartbeat: &Heartbeat, reply: bool) -> EndedAttempts {
         let mut ended = EndedAttempts {
             attempts: Vec::new(),
             freed_resources: false,
@@ -218,10 +218,10 @@
         self.slots.retain(|slot| {
             let mut listed = heartbeat.tasks.iter();
             let keep = listed.any(|t| t.task == slot.task && t.attempt == slot.attempt)
-                || may_be_under_way(slot.state, heartbeat, reply);
+                || may_be_in_flight(slot.state, heartbeat, reply);
             if !keep {
                 // An exited attempt held none any more.
-                ended.freed_resources |= slot.holds_room();
+                ended.freed_resources |= slot.holds_resources();
                 ended.attempts.push((slot.task.clone(), slot.attempt));
             }
             keep
@@ -230,7 +230,7 @@
     }
 
     fn update_idle_since(&mut self, now: MonotonicTime) {
-        if self.slots.iter().any(Slot::holds_room) {
+        if self.slots.iter().any(Slot::holds_resources) {
             self.idle_since = None;
         } else {
             self.idle_since.get_or_insert(now);
@@ -239,7 +239,7 @@
 }
 
 /// Whether a launch may reach the worker after it sent this message.
-fn may_be_under_way(state: SlotState, heartbeat: &Heartbeat, reply: bool) -> bool {
+fn may_be_in_flight(state: SlotState, heartbeat: &Heartbeat, reply: bool) -> bool {
     let SlotState::Sent { incarnation, seq } = state else {
         return false;
     };
--- a/crates/pulleywood-scheduler/src/shard/returning_machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/returning_machines.rs
@@ -5,7 +5,7 @@
 use crate::resources::ResourceVector;
 use crate::shard::ShardState;
 use crate::shard::machine::Machine;
-use crate::shard::resumption::NEXT_TRY;
+use crate::shard::resumption::WORKER_RETRY_DELAY;
 use pulleywood_protocol::{JobSpec, MonotonicTime};
 
 /// If more than one machine in so many missed its last answer, the answers were lost,
@@ -19,13 +19,13 @@
 impl ShardState {
     /// Whether a task of a job may find resources on a machine that the planner does
     /// not use yet, since its leader could not answer for a while.
-    pub(crate) fn returning_room(
+    pub(crate) fn may_fit_returning_machine(
         &self,
         spec: &JobSpec,
         now: MonotonicTime,
         config: &Config,
     ) -> bool {
-        if !self.resumption.stops_wait {
+        if !self.resumption.delays_preemption {
             return false;
         }
         let resumed_lately = self.resumption.is_recent(now, config);
@@ -36,9 +36,9 @@
         if !resumed_lately && missed_answers * MISSED_SHARE <= self.machines.len() {
             return false;
         }
-        let lately = config.heartbeat_interval.mul_f64(HEARD_LATELY_INTERVALS) + NEXT_TRY;
+        let lately = config.heartbeat_interval.mul_f64(HEARD_LATELY_INTERVALS) + WORKER_RETRY_DELAY;
         let may_return = |m: &Machine| {
-            let heard = m.heard.is_some_and(|at| now.since(at) < lately);
+            let heard = m.last_heartbeat_at.is_some_and(|at| now.since(at) < lately);
             missed_answer(&m) || resumed_lately && !(m.confirmed && heard)
         };
         let mut machines = self.machines.values();
@@ -57,10 +57,10 @@
     let Some(flavor) = config.flavors.get(&record.flavor) else {
         return false;
     };
-    machine.stays_in_use(now)
+    machine.remains_in_service(now)
         && config.flavor_fits(spec, flavor)
         && spec.allows_place(&record.zone, record.spot)
         && machine
-            .free(ResourceVector::of_flavor(flavor))
+            .free_resources(ResourceVector::of_flavor(flavor))
             .fits(&ResourceVector::of_task(spec))
 }
--- a/crates/pulleywood-scheduler/src/shard/snapshot.rs
+++ b/crates/pulleywood-scheduler/src/shard/snapshot.rs
@@ -28,15 +28,15 @@
     /// Done tasks that are not committed.
     pub uncommitted: usize,
     /// Waiting tasks that an earlier leader may have launched.
-    pub older_waiting: usize,
+    pub inherited_waiting: usize,
     /// Of which may still run on a machine that has not reported.
-    pub older_blocked: usize,
+    pub inherited_blocked: usize,
     /// Waiting replicas of services.
-    pub services_missing: usize,
+    pub waiting_replicas: usize,
     /// Zones in which it has machines.
     pub zones: BTreeSet<String>,
     /// Attempts below production rank that fetch their image, by zone.
-    pub lower_fetches: BTreeMap<String, usize>,
+    pub fetches_below_production: BTreeMap<String, usize>,
 }
 
 impl ShardState {
@@ -56,9 +56,9 @@
             snapshot.count_job(job);
             let waiting = job.waiting.len() as usize;
             if job.maybe_launched_before && waiting > 0 {
-                snapshot.older_waiting += waiting;
-                if self.rebuilding() && self.may_run_unseen(job, config) {
-                    snapshot.older_blocked += waiting;
+                snapshot.inherited_waiting += waiting;
+                if self.is_rebuilding() && self.may_run_on_unreported_machine(job, config) {
+                    snapshot.inherited_blocked += waiting;
                 }
             }
         }
@@ -74,13 +74,16 @@
         }
         self.confirmed += usize::from(machine.confirmed);
         self.unreported += usize::from(machine.unreported);
-        for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+        for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
             self.running += 1;
-            self.stopping += usize::from(slot.stop.is_some());
+            self.stopping += usize::from(slot.stop_grace_s.is_some());
             let spec = slot.spec.as_ref();
             let below_production = spec.is_some_and(|s| s.rank < Rank::Production);
             if slot.state.is_fetching() && below_production {
-                *self.lower_fetches.entry(zone.clone()).or_default() += 1;
+                *self
+                    .fetches_below_production
+                    .entry(zone.clone())
+                    .or_default() += 1;
             }
         }
     }
@@ -88,7 +91,7 @@
     fn count_job(&mut self, job: &Job) {
         self.uncommitted += (job.done.len() - job.committed.len()) as usize;
         if job.spec.shape == Shape::Service {
-            self.services_missing += job.waiting.len() as usize;
+            self.waiting_replicas += job.waiting.len() as usize;
         }
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/transfer.rs
+++ b/crates/pulleywood-scheduler/src/shard/transfer.rs
@@ -30,7 +30,7 @@
 impl ShardState {
     /// Offers waiting tasks that match a demand, to transfer them: by job, at most as
     /// many as the demand counts. The job submitted last is offered first.
-    pub fn offer(&mut self, like: &Demand, config: &Config) -> Vec<TransferOffer> {
+    pub fn offer_tasks(&mut self, like: &Demand, config: &Config) -> Vec<TransferOffer> {
         let mut left = like.count;
         let mut jobs = self.jobs_to_offer(like, config);
         let mut offers = Vec::new();
@@ -46,7 +46,7 @@
             }
             offers.push(offer);
         }
-        self.disturb();
+        self.invalidate_plan();
         offers
     }
 
@@ -60,10 +60,10 @@
                     && !job.waiting.is_empty()
                     && job.offered.is_empty()
                     && !job.health.is_broken()
-                    && !self.may_run_unseen(job, config)
+                    && !self.may_run_on_unreported_machine(job, config)
                     && like.matches(&job.spec)
             })
-            .map(|(id, job)| (job.at_ms, id.clone()))
+            .map(|(id, job)| (job.submitted_at_ms, id.clone()))
             .collect();
         jobs.sort();
         jobs
@@ -97,13 +97,17 @@
         if job.submitting_shard != self.shard {
             return u32::MAX;
         }
-        let placed = self.by_zone(job).get(zone).copied().unwrap_or(0);
+        let placed = self
+            .task_counts_by_zone(job)
+            .get(zone)
+            .copied()
+            .unwrap_or(0);
         job.spec.zone_limit().saturating_sub(placed)
     }
 
     /// Tasks of a job by zone: those active here, and those bound to a zone in other
     /// shards or offered to them. Empty if its tasks may run in any zones.
-    pub(crate) fn by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
+    pub(crate) fn task_counts_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         if !job.spec.one_zone && !job.spec.spread {
             return zones;
@@ -127,12 +131,12 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.resolve_offer();
         }
-        self.disturb();
+        self.invalidate_plan();
     }
 
     /// It is not known whether an offer was or will be stored: the job's record is
     /// rewritten, which resolves it either way.
-    pub fn doubt_offer(&mut self, id: &JobId) {
+    pub fn mark_offer_uncertain(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.needs_rewrite = true;
             self.dirty_jobs.insert(id.clone());
@@ -143,7 +147,7 @@
 /// The first waiting tasks of a job that may run in the zone, up to `most` tasks and
 /// [`MAX_RANGES`] ranges. A task that is bound to a zone already keeps it.
 fn tasks_to_offer(job: &Job, zone: Option<&String>, most: u32) -> TaskSet {
-    let fits = |index: u32| match (zone, job.bound.get(&index)) {
+    let fits = |index: u32| match (zone, job.zone_bindings.get(&index)) {
         (Some(zone), Some(bound)) => zone == bound,
         (None, Some(_)) => false,
         (_, None) => true,
--- a/crates/pulleywood-scheduler/src/shard/unreported.rs
+++ b/crates/pulleywood-scheduler/src/shard/unreported.rs
@@ -11,12 +11,12 @@
 impl ShardState {
     /// Whether any machine may still run tasks of an earlier leader that this one has
     /// not seen.
-    pub fn rebuilding(&self) -> bool {
+    pub fn is_rebuilding(&self) -> bool {
         self.unreadable_machines || self.machines.values().any(|m| m.unreported)
     }
 
     /// Whether any unreported machine may still run a task of this job.
-    pub fn may_run_unseen(&self, job: &Job, config: &Config) -> bool {
+    pub fn may_run_on_unreported_machine(&self, job: &Job, config: &Config) -> bool {
         let unseen = |m: &Machine| {
             let MachineRecord {
                 flavor, zone, spot, ..
--- a/crates/pulleywood-scheduler/src/shard/usage.rs
+++ b/crates/pulleywood-scheduler/src/shard/usage.rs
@@ -15,12 +15,12 @@
 impl ShardState {
     /// Slots in use or perhaps in use by team. A machine whose tasks are not all
     /// known counts in full against every limited team.
-    pub fn used(&self, config: &Config) -> BTreeMap<String, Slots> {
+    pub fn usage_by_team(&self, config: &Config) -> BTreeMap<String, Slots> {
         // A list, as there are a few teams and thousands of slots.
         let mut by_team: Vec<(&str, Slots)> = Vec::new();
         let mut unknown = Slots::default();
         for machine in self.machines.values() {
-            for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+            for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
                 if let Some(spec) = &slot.spec {
                     let slots = ResourceVector::of_task(spec).slots();
                     match by_team.iter_mut().find(|(team, _)| *team == spec.team) {
@@ -29,7 +29,7 @@
                     }
                 }
             }
-            if machine.unreported || machine.has_foreign() {
+            if machine.unreported || machine.has_unknown_attempts() {
                 add(&mut unknown, all_slots(machine, config));
             }
         }
@@ -46,7 +46,7 @@
     }
 
     /// Running tasks of all live jobs that have some, in one pass.
-    pub fn all_running(&self) -> Vec<(JobId, u32)> {
+    pub fn running_tasks_by_job(&self) -> Vec<(JobId, u32)> {
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
         for slot in self.machines.values().flat_map(|m| &m.slots) {
             if is_running(slot) {
@@ -58,7 +58,7 @@
     }
 
     /// Running tasks of a job.
-    pub fn running(&self, id: &JobId) -> u32 {
+    pub fn running_tasks(&self, id: &JobId) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
--- a/crates/pulleywood-scheduler/tests/common/mod.rs
+++ b/crates/pulleywood-scheduler/tests/common/mod.rs
@@ -145,21 +145,22 @@
 
     /// Takes a heartbeat without answering it.
     pub fn take_heartbeat(&mut self, heartbeat: &Heartbeat, s: f64) -> HeartbeatOutcome {
-        self.state.heartbeat(heartbeat, false, at(s), &self.config)
+        self.state
+            .handle_heartbeat(heartbeat, false, at(s), &self.config)
     }
 
     /// Takes a heartbeat and answers it, launches allowed.
     pub fn heartbeat_and_answer(&mut self, heartbeat: &Heartbeat, s: f64) -> Vec<Command> {
         self.take_heartbeat(heartbeat, s);
         self.state
-            .answer(&heartbeat.machine, true, at(s), &self.config)
+            .response_commands(&heartbeat.machine, true, at(s), &self.config)
     }
 
     /// The next batch of done tasks, of a shard without job batches.
     pub fn batch(&self, shard_revision: Revision, s: f64) -> Option<Batch> {
         let job_batches = JobBatches::default();
         self.state
-            .batch(shard_revision, &job_batches, at(s), &self.config)
+            .next_batch(shard_revision, &job_batches, at(s), &self.config)
     }
 }
 
--- a/crates/pulleywood-scheduler/tests/health.rs
+++ b/crates/pulleywood-scheduler/tests/health.rs
@@ -146,7 +146,9 @@
             .filter(|l| l.2.job == id(1))
             .collect();
         assert!(
-            workers.health_events.contains(&HealthEvent::Runs(id(1))),
+            workers
+                .health_events
+                .contains(&HealthEvent::JobRecovered(id(1))),
             "{tasks} tasks: {tries:?}"
         );
         let active = workers.harness.state.jobs[&id(1)].active.len();
--- a/crates/pulleywood-scheduler/tests/placement.rs
+++ b/crates/pulleywood-scheduler/tests/placement.rs
@@ -87,10 +87,10 @@
             let heartbeat = harness.heartbeat(m, 1, vec![]);
             harness
                 .state
-                .heartbeat(&heartbeat, false, at(1.0), &harness.config);
+                .handle_heartbeat(&heartbeat, false, at(1.0), &harness.config);
             harness
                 .state
-                .answer(&machine(m), false, at(1.0), &harness.config);
+                .response_commands(&machine(m), false, at(1.0), &harness.config);
         }
         let mut got = [0, 0];
         for (m, n) in got.iter_mut().enumerate() {
@@ -221,7 +221,10 @@
         harness.config.teams.get_mut("red").unwrap().guarantee = slots(0.0, guarantee);
         harness.config.teams.get_mut("blue").unwrap().guarantee = slots(0.0, 4.0);
         let others = slots(0.0, elsewhere);
-        harness.state.elsewhere.insert("red".into(), others);
+        harness
+            .state
+            .usage_in_other_shards
+            .insert("red".into(), others);
         let mut first = spec(1, 4);
         first.rank = Rank::Urgent;
         harness.submit(first, false);
@@ -287,14 +290,14 @@
         let heartbeat = harness.heartbeat(m, 1, vec![]);
         harness
             .state
-            .heartbeat(&heartbeat, false, at(1.0), &harness.config);
+            .handle_heartbeat(&heartbeat, false, at(1.0), &harness.config);
     }
     // The plan is made anew between the two machines' heartbeats.
     let mut out = Vec::new();
     for m in 0..2 {
         let heartbeat = harness.heartbeat(m, 2, vec![]);
         out.push(launches(&harness.heartbeat_and_answer(&heartbeat, 1.5)));
-        harness.state.disturb();
+        harness.state.invalidate_plan();
     }
     let all: Vec<_> = out.concat();
     assert_eq!(all.len(), 6);
@@ -336,7 +339,7 @@
     // job is starved. (Age in seconds, whether it has started)
     for (s, begun) in [(30.0, false), (61.0, true)] {
         let mut harness = ShardHarness::new(&["a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.config.objectives.push(ServiceLevelObjective {
             kind: "finished".into(),
             class: Some("c".into()),
@@ -362,7 +365,7 @@
     // A task needs a whole machine, while smaller ones take each piece that comes
     // free. Once it is starved, one machine is reserved for it.
     let mut harness = ShardHarness::new(&["a", "a"]);
-    harness.state.day_offset_ms = at(0.0).0 as i64;
+    harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
     let mut wide = spec(1, 1);
     (wide.cpus.0, wide.gpus.0) = (16.0, 4.0);
     wide.rank = Rank::Standard;
@@ -409,7 +412,7 @@
     // served first.
     for (cpus, weight, red, blue) in [(4.0, 1.0, 8, 8), (8.0, 1.0, 8, 4), (4.0, 3.0, 4, 12)] {
         let mut harness = ShardHarness::new(&["a", "a", "a", "a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.config.teams.get_mut("blue").unwrap().weight = weight;
         for n in 0..14 {
             harness.submit(spec(100 + n, 1), false);
@@ -419,13 +422,14 @@
         for heartbeat in &heartbeats {
             harness
                 .state
-                .heartbeat(heartbeat, false, at(1.0), &harness.config);
+                .handle_heartbeat(heartbeat, false, at(1.0), &harness.config);
         }
         let mut launched = Vec::new();
         for heartbeat in &heartbeats {
-            let commands = harness
-                .state
-                .answer(&heartbeat.machine, true, at(1.0), &harness.config);
+            let commands =
+                harness
+                    .state
+                    .response_commands(&heartbeat.machine, true, at(1.0), &harness.config);
             launched.extend(launches(&commands));
         }
         let reds = launched.iter().filter(|(t, _)| t.job < task(200, 0).job);
@@ -503,7 +507,7 @@
 fn a_job_starved_for_long_starts_although_its_team_has_its_share() {
     for (s, begun) in [(100.0, false), (125.0, true)] {
         let mut harness = ShardHarness::new(&["a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.submit(no_gpus(1, 3, 4.0), false);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
         let begun_first = launches(&harness.heartbeat_and_answer(&heartbeat, 1.0));
@@ -587,7 +591,7 @@
                 ..spec(9, 1)
             };
             let types = machine_types::of_job(&harness.config, &one);
-            harness.state.choices.note(types, at(0.0));
+            harness.state.machine_type_demand.note(types, at(0.0));
         }
         let small = JobSpec {
             rank: Rank::Urgent,
@@ -599,15 +603,16 @@
         for heartbeat in &heartbeats {
             harness
                 .state
-                .heartbeat(heartbeat, false, at(1.0), &harness.config);
+                .handle_heartbeat(heartbeat, false, at(1.0), &harness.config);
         }
         let started: Vec<usize> = (0..3)
             .map(|m| {
-                launches(
-                    &harness
-                        .state
-                        .answer(&machine(m), true, at(1.0), &harness.config),
-                )
+                launches(&harness.state.response_commands(
+                    &machine(m),
+                    true,
+                    at(1.0),
+                    &harness.config,
+                ))
                 .len()
             })
             .collect();
@@ -627,7 +632,7 @@
             ..spec(9, 1)
         };
         let types = machine_types::of_job(&harness.config, &large);
-        harness.state.choices.note(types, at(0.0));
+        harness.state.machine_type_demand.note(types, at(0.0));
         harness.submit(large, false);
         let first = harness.heartbeat(0, 1, vec![]);
         let (task, attempt) = launches(&harness.heartbeat_and_answer(&first, 0.0)).remove(0);
--- a/crates/pulleywood-scheduler/tests/quota.rs
+++ b/crates/pulleywood-scheduler/tests/quota.rs
@@ -117,7 +117,7 @@
                     states.get_mut(&p).unwrap().state.quotas = record;
                 }
                 Some(Step::Shrink(p, to)) => {
-                    let used = states[&p].state.used(&config);
+                    let used = states[&p].state.usage_by_team(&config);
                     let next = shrunk(&records[&p], &to, &used);
                     states.get_mut(&p).unwrap().state.quotas = next.unwrap();
                 }
@@ -129,8 +129,8 @@
             let sum: f64 = granted.map(|s| s.gpus.0).sum();
             assert!(sum <= limit + 1e-6, "{sum} of {limit}");
             for harness in states.values_mut() {
-                harness.state.disturb();
-                let seq = harness.state.machines[&machine(0)].newest.1 + 1;
+                harness.state.invalidate_plan();
+                let seq = harness.state.machines[&machine(0)].last_message.1 + 1;
                 let heartbeat = harness.heartbeat(0, seq, vec![]);
                 begun += launches(&harness.heartbeat_and_answer(&heartbeat, 1.0)).len();
             }
--- a/crates/pulleywood-scheduler/tests/recovering.rs
+++ b/crates/pulleywood-scheduler/tests/recovering.rs
@@ -22,8 +22,8 @@
         (first.machines, first.confirmed, first.unreported),
         (2, 0, 2)
     );
-    assert_eq!((first.older_waiting, first.older_blocked), (5, 5));
-    assert_eq!(first.services_missing, 2);
+    assert_eq!((first.inherited_waiting, first.inherited_blocked), (5, 5));
+    assert_eq!(first.waiting_replicas, 2);
     assert_eq!(first.zones.len(), 2);
     let running = status(&task(1, 0), Attempt(7), TaskState::Running);
     let heartbeat = harness.heartbeat(0, 1, vec![running]);
@@ -33,12 +33,12 @@
         (second.confirmed, second.unreported, second.running),
         (1, 1, 1)
     );
-    assert_eq!((second.older_waiting, second.older_blocked), (4, 4));
+    assert_eq!((second.inherited_waiting, second.inherited_blocked), (4, 4));
     let heartbeat = harness.heartbeat(1, 1, vec![]);
     harness.take_heartbeat(&heartbeat, 1.0);
     let third = harness.state.snapshot(&harness.config);
-    assert_eq!((third.unreported, third.older_blocked), (0, 0));
-    assert_eq!(third.older_waiting, 4);
+    assert_eq!((third.unreported, third.inherited_blocked), (0, 0));
+    assert_eq!(third.inherited_waiting, 4);
 }
 
 #[test]
@@ -62,8 +62,8 @@
         }
         harness.submit(array, false);
         harness.state.fetch_gate = shut.then(|| FetchGate {
-            until: at(5.0),
-            left: BTreeMap::from([("a".to_owned(), left)]),
+            ends_at: at(5.0),
+            remaining_by_zone: BTreeMap::from([("a".to_owned(), left)]),
         });
         let heartbeat = harness.heartbeat(0, 1, vec![]);
         let commands = launches(&harness.heartbeat_and_answer(&heartbeat, s));
@@ -91,7 +91,7 @@
     ];
     for (waits, s, room, silence, stopped) in cases {
         let mut harness = ShardHarness::new(&["a", "a"]);
-        harness.state.resumption.stops_wait = waits;
+        harness.state.resumption.delays_preemption = waits;
         let tasks = if room { 4 } else { 8 };
         harness.submit(spec(1, tasks), false);
         let mut shown = Vec::new();
@@ -115,7 +115,7 @@
         harness.heartbeat_and_answer(&first, 5.0 + silence);
         let mut stops = 0;
         for n in 1..=s.ceil() as u64 {
-            harness.state.disturb();
+            harness.state.invalidate_plan();
             let next = harness.heartbeat(0, 7 + n, shown[0].clone());
             let commands = harness.heartbeat_and_answer(&next, 5.0 + silence + s.min(n as f64));
             let stopped_tasks = commands
@@ -136,8 +136,8 @@
         array.image_gb = Amount(gb);
         harness.submit(array, false);
         harness.state.fetch_gate = Some(FetchGate {
-            until: at(5.0),
-            left: BTreeMap::from([("a".to_owned(), left)]),
+            ends_at: at(5.0),
+            remaining_by_zone: BTreeMap::from([("a".to_owned(), left)]),
         });
         let mut all = 0;
         for m in 0..4 {
--- a/crates/pulleywood-scheduler/tests/shard/done_batches.rs
+++ b/crates/pulleywood-scheduler/tests/shard/done_batches.rs
@@ -43,7 +43,7 @@
             .any(|c| c.path == "c/part/0" && c.revision == Revision(9)),
         "a leader's write rests on its shard's revision"
     );
-    harness.state.batch_applied(&batch, Revision(10));
+    harness.state.mark_batch_committed(&batch, Revision(10));
     let heartbeat = seen(3, &mut harness);
     assert!(
         harness
--- a/crates/pulleywood-scheduler/tests/shard/failover.rs
+++ b/crates/pulleywood-scheduler/tests/shard/failover.rs
@@ -47,7 +47,7 @@
                 let other = harness.heartbeat(1, 1, vec![]);
                 harness.take_heartbeat(&other, s);
             }
-            By::Release => harness.state.drop_machine(&machine(1)),
+            By::Release => harness.state.remove_machine(&machine(1)),
             By::Nothing | By::LeaseExpiry => {}
         }
         harness.state.tick(at(s), &harness.config);
--- a/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
+++ b/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
@@ -25,10 +25,10 @@
 fn heartbeats_that_are_not_newer_are_stale() {
     let mut harness = ShardHarness::new(&["a"]);
     let cases = [
-        ((1, 5), HeartbeatOutcome::Fresh),
+        ((1, 5), HeartbeatOutcome::Accepted),
         ((1, 5), HeartbeatOutcome::Stale),
         ((1, 4), HeartbeatOutcome::Stale),
-        ((2, 1), HeartbeatOutcome::Fresh),
+        ((2, 1), HeartbeatOutcome::Accepted),
         ((1, 9), HeartbeatOutcome::Stale),
     ];
     for ((incarnation, seq), expected) in cases {
@@ -118,7 +118,7 @@
     let newer = harness.heartbeat_under(0, 1, FencingToken(6), vec![]);
     let outcome = harness.take_heartbeat(&newer, 1.0);
     assert_eq!(outcome, HeartbeatOutcome::Superseded);
-    assert_eq!(harness.state.machines[&machine(0)].answered, None);
+    assert_eq!(harness.state.machines[&machine(0)].last_response_at, None);
 }
 
 #[test]
@@ -134,7 +134,10 @@
         let outcome = harness.take_heartbeat(copy, 9.0);
         assert_eq!(outcome, HeartbeatOutcome::Stale);
     }
-    assert_eq!(harness.state.machines[&machine(0)].answered, Some(at(2.0)));
+    assert_eq!(
+        harness.state.machines[&machine(0)].last_response_at,
+        Some(at(2.0))
+    );
     let other = harness.heartbeat(1, 1, vec![]);
     assert!(
         launches(&harness.heartbeat_and_answer(&other, 9.5)).is_empty(),
@@ -148,7 +151,7 @@
         1
     );
     // A machine released meanwhile is not brought back by a copy.
-    harness.state.drop_machine(&machine(0));
+    harness.state.remove_machine(&machine(0));
     let outcome = harness.take_heartbeat(&running, 30.0);
     assert_eq!(outcome, HeartbeatOutcome::Unknown);
 }
--- a/crates/pulleywood-scheduler/tests/shard/launches.rs
+++ b/crates/pulleywood-scheduler/tests/shard/launches.rs
@@ -30,7 +30,7 @@
         let next = harness.heartbeat(0, 9 + after, vec![]);
         harness
             .state
-            .heartbeat(&next, reply, at(2.0), &harness.config);
+            .handle_heartbeat(&next, reply, at(2.0), &harness.config);
         let job = &harness.state.jobs[&task(1, 0).job];
         assert_eq!(job.waiting.is_empty(), counted, "{name}");
     }
@@ -72,9 +72,10 @@
         harness.submit(spec(1, 1), false);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
         harness.take_heartbeat(&heartbeat, 1.0);
-        let commands = harness
-            .state
-            .answer(&machine(0), lease, at(1.0), &harness.config);
+        let commands =
+            harness
+                .state
+                .response_commands(&machine(0), lease, at(1.0), &harness.config);
         assert_eq!(launches(&commands).len(), expected, "{name}");
     }
 }
@@ -85,7 +86,7 @@
     harness.submit(spec(1, 1), false);
     let first = harness.heartbeat(0, 1, vec![]);
     let (t, a) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
-    harness.state.drop_job(&t.job);
+    harness.state.remove_job(&t.job);
     let stop = Command::Stop {
         task: t.clone(),
         attempt: a,
@@ -95,12 +96,20 @@
         harness.state.direct_commands(&machine(0)),
         std::slice::from_ref(&stop)
     );
-    assert_eq!(harness.state.used(&harness.config)["red"], slots(4.0, 1.0));
+    assert_eq!(
+        harness.state.usage_by_team(&harness.config)["red"],
+        slots(4.0, 1.0)
+    );
     let running = harness.heartbeat(0, 2, vec![status(&t, a, TaskState::Running)]);
     assert_eq!(harness.heartbeat_and_answer(&running, 2.0), [stop]);
     let gone = harness.heartbeat(0, 3, vec![]);
     harness.heartbeat_and_answer(&gone, 3.0);
-    assert!(!harness.state.used(&harness.config).contains_key("red"));
+    assert!(
+        !harness
+            .state
+            .usage_by_team(&harness.config)
+            .contains_key("red")
+    );
 }
 
 #[test]
@@ -167,10 +176,10 @@
                 harness.take_heartbeat(&other, 1.0);
                 harness
                     .state
-                    .answer(&machine(0), true, at(1.0), &harness.config);
+                    .response_commands(&machine(0), true, at(1.0), &harness.config);
             }
             if reported {
-                harness.state.cancelling(&spec(1, 1).id, at(7.0));
+                harness.state.hold_for_cancellation(&spec(1, 1).id, at(7.0));
             }
             let heartbeat = harness.heartbeat(1, 2, vec![]);
             let commands = harness.heartbeat_and_answer(&heartbeat, s);
--- a/crates/pulleywood-scheduler/tests/unreadable.rs
+++ b/crates/pulleywood-scheduler/tests/unreadable.rs
@@ -16,15 +16,15 @@
     let running = status(&task(1, 0), Attempt(7), TaskState::Running);
     let done = exited(&task(1, 1), Attempt(8), Cause::Done);
     let mut harness = ShardHarness::after_failover(&["a"], at(60.0));
-    harness.state.block_job(&id(1));
+    harness.state.mark_job_unreadable(&id(1));
     let heartbeat = harness.heartbeat(0, 1, vec![running.clone(), done.clone()]);
     assert_eq!(harness.heartbeat_and_answer(&heartbeat, 1.0), []);
     assert!(
-        harness.state.machines[&machine(0)].has_foreign(),
+        harness.state.machines[&machine(0)].has_unknown_attempts(),
         "nobody knows what it takes: the machine counts in full"
     );
     // Its record is gone: it was cancelled, or ended elsewhere.
-    harness.state.drop_job(&id(1));
+    harness.state.remove_job(&id(1));
     let heartbeat = harness.heartbeat(0, 2, vec![running.clone(), done.clone()]);
     let commands = harness.heartbeat_and_answer(&heartbeat, 2.0);
     assert!(
@@ -46,7 +46,7 @@
     let heartbeat = harness.heartbeat(0, 1, vec![]);
     let started = launches(&harness.heartbeat_and_answer(&heartbeat, 1.0));
     assert_eq!(started.len(), 4);
-    harness.state.block_job(&id(1));
+    harness.state.mark_job_unreadable(&id(1));
     let seen: Vec<_> = started
         .iter()
         .map(|(t, a)| status(t, *a, TaskState::Running))
@@ -76,7 +76,7 @@
 fn an_attempt_first_seen_while_its_job_was_unreadable_is_kept() {
     let running = status(&task(1, 0), Attempt(7), TaskState::Running);
     let mut harness = ShardHarness::after_failover(&["a"], at(60.0));
-    harness.state.block_job(&id(1));
+    harness.state.mark_job_unreadable(&id(1));
     let heartbeat = harness.heartbeat(0, 1, vec![running.clone()]);
     assert_eq!(harness.heartbeat_and_answer(&heartbeat, 1.0), []);
     harness.submit(spec(1, 1), true);
--- a/crates/pulleywood-scheduler/tests/work.rs
+++ b/crates/pulleywood-scheduler/tests/work.rs
@@ -52,7 +52,7 @@
         for m in 0..300 {
             harness
                 .state
-                .answer(&machine(m), true, at(1.0), &harness.config);
+                .response_commands(&machine(m), true, at(1.0), &harness.config);
         }
         let digest = harness.state.digest(at(1.5), &harness.config);
         assert_eq!(digest.machines.len(), machines);
@@ -110,7 +110,7 @@
             writes += batch.transaction.writes.len();
             harness
                 .state
-                .batch_applied(&batch, Revision(100 + step as u64));
+                .mark_batch_committed(&batch, Revision(100 + step as u64));
         }
     }
     assert_eq!(ended, tasks as usize);
@@ -155,7 +155,7 @@
             harness.take_heartbeat(&heartbeat, 2.0);
         }
         harness.state.candidates_examined = 0;
-        harness.state.disturb();
+        harness.state.invalidate_plan();
         let heartbeat = harness.heartbeat(0, 2, on_first);
         harness.heartbeat_and_answer(&heartbeat, 2.0);
         let candidates_examined = harness.state.candidates_examined;
@@ -198,7 +198,7 @@
         m.images = has.clone().map(|n| (format!("i{n}"), 1.0)).collect();
         let named = record.clone().map(|n| (format!("i{n}"), Amount(1.0)));
         m.record.images = named.collect();
-        let new = harness.state.new_images();
+        let new = harness.state.outdated_image_records();
         assert_eq!(!new.is_empty(), written, "{has:?} {record:?}");
     }
 }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
@@ -42,7 +42,7 @@
 
     pub(super) fn remove_machine(&mut self, id: &MachineId) {
         for state in self.shards.values_mut() {
-            state.drop_machine(id);
+            state.remove_machine(id);
         }
         self.records.remove(id);
         self.workers.remove(id);
@@ -171,7 +171,7 @@
             ..record
         };
         let old = self.shards.get_mut(&from).expect("a shard");
-        old.drop_machine(id);
+        old.remove_machine(id);
         let new = self.shards.get_mut(&to).expect("a shard");
         new.put_machine(id, record.clone(), revision, false, self.now);
         self.records.insert(id.clone(), (record, revision));
@@ -184,7 +184,7 @@
         demand: &pulleywood_protocol::peer::Demand,
     ) {
         let state = self.shards.get_mut(&from).expect("a shard");
-        for offer in state.offer(demand, &self.config) {
+        for offer in state.offer_tasks(demand, &self.config) {
             self.digest.text(offer.id.as_str());
             self.digest.text(offer.zone.as_deref().unwrap_or(""));
             self.digest.text(&offer.tasks.chunk_text(0, 1 << 20));
@@ -196,7 +196,7 @@
             }
             if draw < 0.2 {
                 let state = self.shards.get_mut(&from).expect("a shard");
-                state.doubt_offer(&offer.id);
+                state.mark_offer_uncertain(&offer.id);
                 continue;
             }
             let Some((mut record, _)) = self.jobs.get(&offer.id).cloned() else {
--- a/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
@@ -13,7 +13,9 @@
         }
         self.machine_type_demand.forget(self.now);
         for state in self.shards.values_mut() {
-            state.choices.clone_from(&self.machine_type_demand);
+            state
+                .machine_type_demand
+                .clone_from(&self.machine_type_demand);
         }
     }
 
@@ -30,7 +32,7 @@
                 sum.cpus.0 += used.cpus.0;
                 sum.gpus.0 += used.gpus.0;
             }
-            state.elsewhere = elsewhere;
+            state.usage_in_other_shards = elsewhere;
         }
     }
 
@@ -44,15 +46,15 @@
             self.digests.insert(*shard, Arc::new(digest));
             for event in state.take_health_events() {
                 let (kind, name) = match event {
-                    HealthEvent::Broken(id) => (0, id.to_string()),
-                    HealthEvent::Runs(id) => (1, id.to_string()),
-                    HealthEvent::Quarantined(id) => (2, id.to_string()),
-                    HealthEvent::Fit(id) => (3, id.to_string()),
+                    HealthEvent::JobBroken(id) => (0, id.to_string()),
+                    HealthEvent::JobRecovered(id) => (1, id.to_string()),
+                    HealthEvent::MachineQuarantined(id) => (2, id.to_string()),
+                    HealthEvent::MachineRestored(id) => (3, id.to_string()),
                 };
                 self.digest.number(kind);
                 self.digest.text(&name);
             }
-            self.digest.number(state.take_started().len() as u64);
+            self.digest.number(state.take_task_starts().len() as u64);
             self.digest.number(state.candidates_examined);
             let snapshot = state.snapshot(&self.config);
             for count in [
@@ -62,13 +64,13 @@
                 snapshot.running,
                 snapshot.stopping,
                 snapshot.uncommitted,
-                snapshot.older_waiting,
-                snapshot.older_blocked,
-                snapshot.services_missing,
+                snapshot.inherited_waiting,
+                snapshot.inherited_blocked,
+                snapshot.waiting_replicas,
             ] {
                 self.digest.number(count as u64);
             }
-            for (id, record) in state.new_images() {
+            for (id, record) in state.outdated_image_records() {
                 self.digest.text(&id.0);
                 self.digest.bytes(&cbor::encode(&record));
                 if self.rng.bool() {
@@ -112,7 +114,7 @@
             }
             Some(Step::Shrink(shard, to)) => {
                 self.digest.number(2);
-                let used = self.shards[&shard].used(&self.config);
+                let used = self.shards[&shard].usage_by_team(&self.config);
                 if let Some(record) = quota::shrunk(&self.quotas[&shard], &to, &used) {
                     self.set_quota(shard, record);
                 }
@@ -125,7 +127,7 @@
         self.digest.bytes(&cbor::encode(&record));
         let state = self.shards.get_mut(&shard).expect("a shard");
         state.quotas = record.clone();
-        state.disturb();
+        state.invalidate_plan();
         self.quotas.insert(shard, record);
     }
 }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
@@ -98,7 +98,7 @@
             self.leave_job_batch(id);
         }
         for state in self.shards.values_mut() {
-            state.drop_job(id);
+            state.remove_job(id);
         }
     }
 
@@ -115,9 +115,10 @@
         for shard in shards {
             loop {
                 let state = &self.shards[&shard];
-                let due = state.has_batch(self.now, &self.config);
+                let due = state.next_batch_is_urgent(self.now, &self.config);
                 self.digest.number(due.map_or(2, u64::from));
-                let batch = state.batch(Revision(3), &self.job_batches, self.now, &self.config);
+                let batch =
+                    state.next_batch(Revision(3), &self.job_batches, self.now, &self.config);
                 let Some(batch) = batch else { break };
                 self.digest.bytes(&cbor::encode(&batch.transaction));
                 let revision = self.next_revision();
@@ -125,10 +126,10 @@
                     self.job_batches.put(*n, job_batch.clone(), revision);
                 }
                 let state = self.shards.get_mut(&shard).expect("a shard");
-                state.batch_applied(&batch, revision);
+                state.mark_batch_committed(&batch, revision);
                 for job in &batch.jobs {
                     self.in_batch.remove(&job.id);
-                    if job.over.is_some() {
+                    if job.final_record.is_some() {
                         self.end_job(&job.id);
                     }
                 }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -170,7 +170,7 @@
         let zones = self.config.zones.clone();
         let mut state = ShardState::new(shard, fencing_token, previous_launches_until, zones);
         state.quotas = self.quotas[&shard].clone();
-        state.resumption.stops_wait = self.rng.bool();
+        state.resumption.delays_preemption = self.rng.bool();
         for (id, (record, revision)) in &self.records {
             if record.shard == shard {
                 state.put_machine(id, record.clone(), *revision, true, self.now);
@@ -227,7 +227,7 @@
             } else {
                 let until = self.now + Duration::from_secs(8);
                 for state in self.shards.values_mut() {
-                    state.cancelling(&id, until);
+                    state.hold_for_cancellation(&id, until);
                 }
             }
         }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
@@ -28,20 +28,20 @@
         let launch = self.rng.f64() < 0.95;
         let reply = self.rng.f64() < 0.05;
         let state = self.shards.get_mut(&record.shard).expect("a shard");
-        let taken = state.heartbeat(&heartbeat, reply, self.now, &self.config);
+        let taken = state.handle_heartbeat(&heartbeat, reply, self.now, &self.config);
         self.digest.number(match taken {
             HeartbeatOutcome::Stale => 0,
             HeartbeatOutcome::Unknown => 1,
             HeartbeatOutcome::Superseded => 2,
-            HeartbeatOutcome::Fresh => 3,
+            HeartbeatOutcome::Accepted => 3,
         });
-        if taken != HeartbeatOutcome::Fresh {
+        if taken != HeartbeatOutcome::Accepted {
             return;
         }
         let commands = if reply {
             state.direct_commands(id)
         } else {
-            state.answer(id, launch, self.now, &self.config)
+            state.response_commands(id, launch, self.now, &self.config)
         };
         let fencing_token = state.machines[id].fencing_token(state.fencing_token);
         self.digest.text(&id.0);
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -69,7 +69,7 @@
             self.previous_launches_until(record.as_ref(), config, now),
             config.zones.clone(),
         );
-        state.resumption.stops_wait = self.recovery.is_some();
+        state.resumption.delays_preemption = self.recovery.is_some();
         let mut held = LedShard {
             state,
             revision,
@@ -99,7 +99,7 @@
     /// Records that a shard all of whose machines have reported is accounted for.
     pub(super) fn record_reconciled(&mut self, store: &mut Store) {
         for (shard, held) in &mut self.held {
-            if held.reconciled || held.state.rebuilding() {
+            if held.reconciled || held.state.is_rebuilding() {
                 continue;
             }
             let Some(item) = store.get(&previous_leader_key(*shard)) else {
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -191,7 +191,7 @@
                 (Some(Key::Job(_, id, 0)), None) => {
                     self.jobs.remove(&id);
                     for held in self.held.values_mut() {
-                        held.state.drop_job(&id);
+                        held.state.remove_job(&id);
                     }
                 }
                 (Some(Key::MachineBatch(_)), Some(item)) => {
@@ -223,7 +223,7 @@
                     .get_mut(index)
                     .and_then(|w| w.direct(fencing_token, now))
                 {
-                    held.state.heartbeat(&reply, true, now, config);
+                    held.state.handle_heartbeat(&reply, true, now, config);
                 }
             }
         }
@@ -239,11 +239,13 @@
     ) -> Option<Answer> {
         let launch = self.may_act(now, config) && now.since(self.contact) < MAX_LAUNCH_CACHE_AGE;
         let held = self.held.get_mut(&shard)?;
-        let outcome = held.state.heartbeat(heartbeat, false, now, config);
-        if outcome != pulleywood_scheduler::shard::HeartbeatOutcome::Fresh {
+        let outcome = held.state.handle_heartbeat(heartbeat, false, now, config);
+        if outcome != pulleywood_scheduler::shard::HeartbeatOutcome::Accepted {
             return None;
         }
-        let commands = held.state.answer(&heartbeat.machine, launch, now, config);
+        let commands = held
+            .state
+            .response_commands(&heartbeat.machine, launch, now, config);
         let machine = held.state.machines.get(&heartbeat.machine)?;
         let fencing_token = machine.fencing_token(held.state.fencing_token);
         let jobs = held.state.jobs.iter();
@@ -272,11 +274,14 @@
     fn flush(&mut self, store: &mut Store, config: &Config, now: MonotonicTime) {
         let job_batches = JobBatches::default();
         for held in self.held.values_mut() {
-            while let Some(batch) = held.state.batch(held.revision, &job_batches, now, config) {
+            while let Some(batch) = held
+                .state
+                .next_batch(held.revision, &job_batches, now, config)
+            {
                 let Some(revision) = store.commit(&batch.transaction) else {
                     break;
                 };
-                held.state.batch_applied(&batch, revision);
+                held.state.mark_batch_committed(&batch, revision);
             }
         }
     }
