--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -66,7 +66,12 @@
         let (transaction, job_batches) =
             batches.take_out(transaction, &BTreeSet::from([id.clone()]));
         let in_batch = batches.record(id).cloned();
-        (controller.config.chunk, in_batch, transaction, job_batches)
+        (
+            controller.config.chunk_tasks,
+            in_batch,
+            transaction,
+            job_batches,
+        )
     };
     let stored = match in_batch {
         Some(record) => Some(StoredRecord {
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -128,7 +128,7 @@
     let Some(shards) = shard_count(context).filter(|_| !config.flavors.is_empty()) else {
         return SubmissionDecision::Respond(Response::later(503, 1));
     };
-    if let Some(reason) = config.never_runs(&spec) {
+    if let Some(reason) = config.unschedulable_reason(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
     }
     let ended = context.finals.lock().get(&spec.id);
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -106,7 +106,7 @@
         let controller = self.controller;
         let shard = controller
             .config
-            .shard_for(&heartbeat.machine, &heartbeat.zone);
+            .registering_shard(&heartbeat.machine, &heartbeat.zone);
         if let Some(holder) = controller.cached.shards.get(&shard)
             && holder.value.member != self.context.controller_id
             && let Route::Redirect(member) = self.redirect(&holder.value.member)
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -159,7 +159,7 @@
     let cloud = cloud_client(&settings, members)?;
     let peers = peer_clients(&settings)?;
     let mut config = Config::new(&settings, policy.core);
-    config.batch_ops = config.batch_ops.min(store.preferred_writes());
+    config.max_batch_operations = config.max_batch_operations.min(store.preferred_writes());
     Ok(ControllerContext {
         controller_id: settings.member.as_str().into(),
         boot: fastrand::u64(1..BOOT_END),
--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -8,7 +8,7 @@
 use pulleywood_protocol::peer::{PeerRequest, ShardDigest};
 use pulleywood_protocol::record::{COORDINATOR_LEASE, QuotaRecord, quota_key};
 use pulleywood_protocol::store::Transaction;
-use pulleywood_scheduler::quota::{self, Need, Step};
+use pulleywood_scheduler::quota::{self, QuotaNeed, QuotaStep};
 use pulleywood_transport::RequestPriority;
 use pulleywood_transport::store::Outcome;
 use std::collections::BTreeMap;
@@ -31,15 +31,17 @@
         return;
     };
     match step {
-        Step::Shrink(shard, to) => {
+        QuotaStep::Shrink(shard, to) => {
             ask_leader(context, shard, PeerRequest::ShrinkQuota(shard, to));
         }
-        Step::Grow(shard, record) => grow(context, prepare_growth(lease, &stored, shard, record)),
+        QuotaStep::Grow(shard, record) => {
+            grow(context, prepare_growth(lease, &stored, shard, record))
+        }
     }
 }
 
 /// The step that is due, and the stored quotas that it rests on.
-fn decide(context: &ControllerContext) -> Option<(Step, StoredQuotas)> {
+fn decide(context: &ControllerContext) -> Option<(QuotaStep, StoredQuotas)> {
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let shards = controller.cached.shard_count().unwrap_or(0);
@@ -60,8 +62,8 @@
 }
 
 /// What each team uses and wants in a shard.
-fn needs(digest: &ShardDigest) -> BTreeMap<String, Need> {
-    let mut teams: BTreeMap<String, Need> = BTreeMap::new();
+fn needs(digest: &ShardDigest) -> BTreeMap<String, QuotaNeed> {
+    let mut teams: BTreeMap<String, QuotaNeed> = BTreeMap::new();
     for (team, used) in &digest.used {
         teams.entry(team.clone()).or_default().used = *used;
     }
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -198,7 +198,7 @@
 ) -> PreparedDeletion {
     let controller = context.controller.lock();
     let batches = &controller.cached.machine_batches;
-    let most = controller.config.batch_ops;
+    let most = controller.config.max_batch_operations;
     let mut touched = BTreeSet::new();
     let mut records = BTreeMap::new();
     left.retain(|id| {
--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -59,7 +59,7 @@
     let cloud = read_cloud(settings, &mut config);
     let (items, revision) =
         retry(|| store.list(RequestPriority::Lease, LIVE)).map_err(unreadable)?;
-    let mut stored = StoredState::from_items(&items, revision, config.chunk);
+    let mut stored = StoredState::from_items(&items, revision, config.chunk_tasks);
     config.shards = stored.shard_count;
     let heard = if ask_workers {
         read_heartbeats(&stored)
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -122,7 +122,7 @@
         .when(quota_key(shard), quota_revision.unwrap_or_default());
     let first_quota = quota_revision
         .is_none()
-        .then(|| quota::first(&config, shards));
+        .then(|| quota::initial_quotas(&config, shards));
     if let Some(first_quota) = &first_quota {
         transaction = transaction.write(quota_key(shard), first_quota);
     }
@@ -231,15 +231,15 @@
         let this_controller = previous.holder.member == context.controller_id;
         match (previous.settled, this_controller) {
             (false, _) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: None,
             },
             (true, true) => PreviousLaunches {
-                until: now + self.config.lease_surely_expired(),
+                until: now + self.config.lease_expiry_bound(),
                 leader: None,
             },
             (true, false) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: Some(previous.holder.clone()),
             },
         }
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -151,7 +151,7 @@
     led: &LedShard,
 ) -> Option<PreparedImages> {
     let batches = &controller.cached.machine_batches;
-    let most = controller.config.batch_ops / 2;
+    let most = controller.config.max_batch_operations / 2;
     let mut records = BTreeMap::new();
     let mut touched = BTreeSet::new();
     for (id, record) in led.state.outdated_image_records() {
--- a/crates/pulleywood-controller/src/shard/quota.rs
+++ b/crates/pulleywood-controller/src/shard/quota.rs
@@ -54,7 +54,7 @@
     let led = led.filter(|led| led.loaded)?;
     let stored = stored?;
     let used = led.state.usage_by_team(&config);
-    let record = quota::shrunk(&stored.value, to, &used)?;
+    let record = quota::shrunk_record(&stored.value, to, &used)?;
     led.state.quotas = record.clone();
     led.state.invalidate_plan();
     let key = quota_key(shard);
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -88,7 +88,10 @@
         Destination::Shard(_) => 1,
         Destination::Cloud => 0,
     };
-    let most = controller.config.batch_ops.saturating_sub(token_writes);
+    let most = controller
+        .config
+        .max_batch_operations
+        .saturating_sub(token_writes);
     (by_batch.into_values().collect(), most.max(1))
 }
 
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -91,7 +91,7 @@
 ) -> Option<PreparedTransfer> {
     let TransferOffer { id, zone, tasks } = offer;
     let job = led.state.jobs.get(&id)?;
-    let mut record = job.to_record(job.committed.chunk_text(0, config.chunk));
+    let mut record = job.to_record(job.committed.chunk_text(0, config.chunk_tasks));
     record.transfer_tasks(to, zone.as_deref(), &tasks);
     let key = job_key(id.shard(config.shards), &id);
     // A job in a job batch has no record of its own yet.
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -148,7 +148,7 @@
     /// contact is still obeyed in time, as workers' leases expire before then.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
         let contact = self.lease.renewed.min(self.caught_up);
-        self.is_cached && now < contact + self.config.answer_span()
+        self.is_cached && now < contact + self.config.response_window()
     }
 
     /// Shards that workers are answered for, with their fencing tokens.
@@ -216,7 +216,7 @@
         let mut shards = self.all_shards(now);
         shards.retain(|shard, _| self.cached.shards.contains_key(shard));
         let machines = &self.cached.machines;
-        let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
+        let shard = shard_selection::select_shard(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
             spec,
             at_ms,
@@ -224,7 +224,7 @@
             transferred: Vec::new(),
             done: String::new(),
         };
-        shard_selection::spread(&config, &mut record, &shards, machines, &accepted);
+        shard_selection::transfer_spread_tasks(&config, &mut record, &shards, machines, &accepted);
         self.note_accepted(&config, &record, now);
         record
     }
@@ -241,7 +241,7 @@
     }
 
     fn note_accepted(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
-        let size = shard_selection::size(config, &record.spec);
+        let size = shard_selection::size_in_machines(config, &record.spec);
         let one_task = size / f64::from(record.spec.tasks.max(1));
         let mut rest = size;
         for transfer in &record.transferred {
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -53,16 +53,16 @@
         let shards = fresh.flat_map(|d| &d.digest.shards);
         for demand in shards.flat_map(|shard| &shard.demand) {
             self.choices
-                .note(machine_types::of_demand(config, demand), now);
+                .record_waiting(machine_types::of_demand(config, demand), now);
         }
         for led in self.led_shards.values() {
             let jobs = led.state.jobs.values();
             for job in jobs.filter(|j| !j.waiting.is_empty()) {
                 self.choices
-                    .note(machine_types::of_job(config, &job.spec), now);
+                    .record_waiting(machine_types::of_job(config, &job.spec), now);
             }
         }
-        self.choices.forget(now);
+        self.choices.remove_expired(now);
         for led in self.led_shards.values_mut() {
             led.state.machine_type_demand.clone_from(&self.choices);
         }
@@ -127,7 +127,7 @@
         now: MonotonicTime,
         serving: &[(ShardId, FencingToken)],
     ) {
-        let expiry = self.config.lease_surely_expired();
+        let expiry = self.config.lease_expiry_bound();
         for (shard, led) in &mut self.led_shards {
             if let Some(previous) = &led.previous_leader
                 && previous.member == *peer
@@ -151,7 +151,7 @@
                 .filter(|p| !self.led_shards.contains_key(&p.shard))
             {
                 for (team, slots) in &shard.used {
-                    pulleywood_scheduler::resources::add(
+                    pulleywood_scheduler::resources::add_slots(
                         elsewhere.entry(team.clone()).or_default(),
                         *slots,
                     );
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -152,7 +152,7 @@
             JobEntry::Record(record) => {
                 self.cached.own_records.insert(id.clone());
                 let mut done = TaskSet::new();
-                done.add_chunk(&record.done, 0, self.config.chunk, record.spec.tasks);
+                done.add_chunk(&record.done, 0, self.config.chunk_tasks, record.spec.tasks);
                 self.cached.jobs.insert(id.clone(), done.len());
             }
             JobEntry::Batched(_) | JobEntry::Chunk(..) => {}
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -54,7 +54,7 @@
 
 /// Holds shard 0 since second 10, after process 7 of `c-1` under fencing token 3.
 fn taken(controller: &mut ControllerState) {
-    let until = at(10) + controller.config.previous_leader_span();
+    let until = at(10) + controller.config.previous_leader_window();
     let state = ShardState::new(ShardId(0), FencingToken(4), until, vec![]);
     let before = LeaseHolder {
         member: "c-1".into(),
@@ -78,8 +78,8 @@
 fn only_an_answer_asked_for_since_proves_that_the_old_leader_stopped() {
     // A digest from before it held the shard says the same as one from after
     // it stopped, and the network may bring it late.
-    let lapsed = at(11) + controller().config.lease_surely_expired();
-    let full = at(10) + controller().config.previous_leader_span();
+    let lapsed = at(11) + controller().config.lease_expiry_bound();
+    let full = at(10) + controller().config.previous_leader_window();
     type Say = fn(&mut ControllerState);
     let cases: [(&str, Say, MonotonicTime); 4] = [
         (
@@ -356,7 +356,10 @@
     controller.lease.lease_id = Some(LeaseId(1));
     controller.lease.renewed = at(0);
     controller.caught_up = at(0);
-    let (lease, cancel) = (controller.config.lease, controller.config.cancel);
+    let (lease, cancel) = (
+        controller.config.lease,
+        controller.config.cancellation_limit,
+    );
     let last = (0..100_000)
         .map(|ms| at(0) + Duration::from_millis(ms))
         .take_while(|&t| controller.may_answer(t))
@@ -411,21 +414,21 @@
             let mut controller = controller();
             let config = Arc::make_mut(&mut controller.config);
             config.lease = secs(lease);
-            config.cancel = secs(cancel);
+            config.cancellation_limit = secs(cancel);
             controller.is_cached = true;
             controller.lease.lease_id = Some(LeaseId(1));
             controller.lease.renewed = at(renewed);
             controller.caught_up = at(read);
             let contact = at(100);
-            let gone = contact + controller.config.cancel;
-            let span = controller.config.answer_span();
+            let gone = contact + controller.config.cancellation_limit;
+            let span = controller.config.response_window();
             let name = format!("{lease} {cancel}, renewed {renewed}, read {read}");
             assert!(!controller.may_answer(contact + span), "{name}");
             if span > Duration::ZERO {
                 let last = contact + span - Duration::from_millis(1);
                 assert!(controller.may_answer(last), "{name}");
                 // Drift and the time that an answer takes are covered.
-                let lapsed = last + controller.config.lease_surely_expired();
+                let lapsed = last + controller.config.lease_expiry_bound();
                 assert!(lapsed < gone, "{name}");
                 // No more is given away than the margins.
                 let given = gone.since(last + controller.config.lease).as_secs_f64();
--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -1,6 +1,6 @@
 //! Configuration of the decisions: the platform's settings, and the operators' policy.
 
-use crate::resources::{ResourceVector, within};
+use crate::resources::{ResourceVector, within_limit};
 use pulleywood_protocol::cbor::Amount;
 use pulleywood_protocol::cloud::Flavor;
 use pulleywood_protocol::job::{JobSpec, Shape};
@@ -42,14 +42,14 @@
 
 impl Team {
     /// Whether any resource is limited.
-    pub fn limited(&self) -> bool {
+    pub fn has_limit(&self) -> bool {
         self.limit.cpus.0 > 0.0 || self.limit.gpus.0 > 0.0
     }
 
     /// Whether this usage, over all shards, lies within the guarantee.
-    pub fn guarantees(&self, used: Slots) -> bool {
+    pub fn guarantee_covers(&self, used: Slots) -> bool {
         let any = self.guarantee.cpus.0 > 0.0 || self.guarantee.gpus.0 > 0.0;
-        any && within(used, Slots::default(), self.guarantee, self.guarantee)
+        any && within_limit(used, Slots::default(), self.guarantee, self.guarantee)
     }
 }
 
@@ -103,20 +103,20 @@
     /// A worker's lease: without a response for so long, it kills its tasks.
     pub lease: Duration,
     /// Time within which a cancelled job must have no running task.
-    pub cancel: Duration,
+    pub cancellation_limit: Duration,
     /// Writes that a transaction should hold; those of a single job may exceed it.
-    pub batch_ops: usize,
+    pub max_batch_operations: usize,
     /// Number of shards.
     pub shards: u32,
     /// Most bytes of a stored value.
     pub value_bytes: usize,
     /// Tasks that one record of done tasks covers.
-    pub chunk: u32,
+    pub chunk_tasks: u32,
     /// The zones that machines are in.
     pub zones: Vec<String>,
     /// Zones of the controllers, in the order of their names: shard N is preferably led
     /// by the N-th, modulo their number. Empty if all are in one zone.
-    pub homes: Vec<String>,
+    pub controller_zones: Vec<String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
     /// Service-level objectives of job classes; those without a class hold for all.
@@ -129,7 +129,7 @@
 
 /// Zones of the controllers in the order of their names; none if all are the same, or
 /// one is not a zone of machines.
-fn homes(settings: &Settings) -> Vec<String> {
+fn controller_zones(settings: &Settings) -> Vec<String> {
     let mut members: Vec<(&str, &str)> = settings
         .seeds
         .iter()
@@ -178,13 +178,13 @@
         Self {
             heartbeat_interval: secs(cluster.workers.report_s),
             lease: secs(cluster.workers.lease_s),
-            cancel: secs(cluster.workers.cancel_s),
-            batch_ops: cluster.state.txn_ops as usize,
+            cancellation_limit: secs(cluster.workers.cancel_s),
+            max_batch_operations: cluster.state.txn_ops as usize,
             shards: 0,
             value_bytes: (cluster.state.value_kb * 1024.0) as usize,
-            chunk: chunk_tasks(cluster.state.value_kb),
+            chunk_tasks: chunk_tasks(cluster.state.value_kb),
             zones: cluster.zones.clone(),
-            homes: homes(settings),
+            controller_zones: controller_zones(settings),
             teams,
             objectives: cluster.objectives.clone(),
             flavors: BTreeMap::new(),
@@ -205,17 +205,17 @@
 
     /// The zone of the controller that preferably leads a shard; none if the zones of
     /// the controllers make no difference.
-    pub fn zone_of(&self, shard: ShardId) -> Option<&str> {
-        let position = (shard.0 as usize).checked_rem(self.homes.len())?;
-        self.homes.get(position).map(String::as_str)
+    pub fn preferred_zone(&self, shard: ShardId) -> Option<&str> {
+        let position = (shard.0 as usize).checked_rem(self.controller_zones.len())?;
+        self.controller_zones.get(position).map(String::as_str)
     }
 
     /// The shard that registers a new machine: one of its own zone, so that a partition
     /// around the zone leaves machines with their leader; otherwise any, by its id.
-    pub fn shard_for(&self, machine: &MachineId, zone: &str) -> ShardId {
+    pub fn registering_shard(&self, machine: &MachineId, zone: &str) -> ShardId {
         let near: Vec<ShardId> = (0..self.shards)
             .map(ShardId)
-            .filter(|p| self.zone_of(*p) == Some(zone))
+            .filter(|p| self.preferred_zone(*p) == Some(zone))
             .collect();
         let position = machine.shard(near.len() as u32).0 as usize;
         near.get(position)
@@ -225,26 +225,27 @@
 
     /// After this long without a heartbeat response, by this host's clock, a worker has
     /// surely killed its tasks.
-    pub fn lease_surely_expired(&self) -> Duration {
+    pub fn lease_expiry_bound(&self) -> Duration {
         surely_past(self.lease)
     }
 
     /// How long done tasks of an unfinished job gather before their record is written.
-    pub fn done_age(&self) -> Duration {
+    pub fn max_commit_delay(&self) -> Duration {
         self.lease * DONE_AGE_LEASES
     }
 
     /// How long after its last contact with the state service a leader may still answer
     /// workers. A cancellation that another controller accepts right after that contact
     /// is then still in time, since the worker's lease expires.
-    pub fn answer_span(&self) -> Duration {
-        surely_within(self.cancel.saturating_sub(self.lease)).saturating_sub(RESPONSE_MARGIN)
+    pub fn response_window(&self) -> Duration {
+        surely_within(self.cancellation_limit.saturating_sub(self.lease))
+            .saturating_sub(RESPONSE_MARGIN)
     }
 
     /// How long after a shard's failover a worker that sends heartbeats to the previous
     /// leader alone may still run tasks, unless that leader has confirmed its end.
-    pub fn previous_leader_span(&self) -> Duration {
-        surely_past(self.answer_span() + self.lease)
+    pub fn previous_leader_window(&self) -> Duration {
+        surely_past(self.response_window() + self.lease)
     }
 
     /// Whether a machine type may run the job's tasks, in some zone.
@@ -269,7 +270,7 @@
     /// How many of the objectives of its class a job of this age can still meet, and the
     /// longest time, in seconds, that any of them allows. It would start at once, and
     /// finish after the estimated run.
-    pub fn open_objectives(&self, spec: &JobSpec, age: Duration) -> (u32, f64) {
+    pub fn attainable_objectives(&self, spec: &JobSpec, age: Duration) -> (u32, f64) {
         let age_s = age.as_secs_f64();
         let mut open = 0;
         let mut longest_s: f64 = 0.0;
@@ -290,7 +291,7 @@
 
     /// Why a job can never run, for its user; none if it can. The tasks of a gang and of
     /// a service run together.
-    pub fn never_runs(&self, spec: &JobSpec) -> Option<&'static str> {
+    pub fn unschedulable_reason(&self, spec: &JobSpec) -> Option<&'static str> {
         let Some(team) = self.teams.get(&spec.team) else {
             return Some("unknown team");
         };
@@ -306,7 +307,7 @@
             gpus: spec.gpus.0 * concurrent_tasks,
             memory_gb: 0.0,
         };
-        let fits = within(Slots::default(), need.slots(), team.limit, team.limit);
+        let fits = within_limit(Slots::default(), need.slots(), team.limit, team.limit);
         (!fits).then_some("needs more than the team's limit")
     }
 }
--- a/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
@@ -49,7 +49,7 @@
         if !free.fits(&tasks.need) || !allows(tasks.demand, &bin.kind) {
             continue;
         }
-        let count = free.times(&tasks.need).min(left);
+        let count = free.max_copies(&tasks.need).min(left);
         add_tasks(bin, tasks, count);
         left -= count;
     }
@@ -83,7 +83,7 @@
 }
 
 fn concurrent_tasks_in(bin: &Bin, tasks: &PendingTasks<'_>) -> f64 {
-    f64::from(bin.capacity.times(&tasks.need)) * (1.0 - bin.pinned).max(0.0)
+    f64::from(bin.capacity.max_copies(&tasks.need)) * (1.0 - bin.pinned).max(0.0)
 }
 
 /// Queues tasks that run for less than a boot: a machine that is up, or booting, runs
--- a/crates/pulleywood-scheduler/src/fleet/demand.rs
+++ b/crates/pulleywood-scheduler/src/fleet/demand.rs
@@ -41,7 +41,7 @@
 /// counted in slots of one demand's size.
 pub(super) fn waiting_spot_work_s(waiting: &[&Demand], demand: &Demand, flavor: &Flavor) -> f64 {
     let capacity = ResourceVector::of_flavor(flavor);
-    let share = |d: &Demand| ResourceVector::of_demand(d).share_of(&capacity);
+    let share = |d: &Demand| ResourceVector::of_demand(d).dominant_share(&capacity);
     let slot = share(demand).max(MIN_SHARE);
     let may_run = |d: &&&Demand| {
         let allowed = d.types.as_ref().is_none_or(|t| t.contains(&flavor.label));
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -148,9 +148,9 @@
             .collect();
         for (_, demand) in &demands {
             let types = machine_types::of_demand(self.config, demand);
-            self.history.type_demand.note(types, now);
+            self.history.type_demand.record_waiting(types, now);
         }
-        self.history.type_demand.forget(now);
+        self.history.type_demand.remove_expired(now);
         demands.sort_by_cached_key(|(_, d)| {
             let flexible = !self.types_left_to_others(d).is_empty();
             (flexible, Reverse(d.rank))
@@ -170,7 +170,7 @@
     /// Machine types that a demand leaves to work which can use no others.
     fn types_left_to_others(&self, demand: &Demand) -> MachineTypes {
         let types = machine_types::of_demand(self.config, demand);
-        self.history.type_demand.left_to_others(&types)
+        self.history.type_demand.types_to_avoid(&types)
     }
 
     /// Free resources of the shard itself, on machines that are up. Like the other
--- a/crates/pulleywood-scheduler/src/fleet/rebalance.rs
+++ b/crates/pulleywood-scheduler/src/fleet/rebalance.rs
@@ -89,5 +89,7 @@
 /// stay where they are, and tasks that can be transferred go to them: a partition
 /// around a zone then leaves its machines with the leader in it.
 fn is_in_zone_of(config: &Config, shard: ShardId, bin: &Bin) -> bool {
-    config.zone_of(shard).is_none_or(|z| z == bin.kind.zone)
+    config
+        .preferred_zone(shard)
+        .is_none_or(|z| z == bin.kind.zone)
 }
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -126,7 +126,7 @@
 /// where it saves more than half of the boot of a replacement.
 fn unreported(config: &Config, snapshot: &FleetSnapshot<'_>) -> Vec<MachineId> {
     let wait_s = unreachable_after_s(config);
-    let saved_s = config.lease_surely_expired().as_secs_f64() - wait_s;
+    let saved_s = config.lease_expiry_bound().as_secs_f64() - wait_s;
     let is_worthwhile = |id: &MachineId| {
         let record = snapshot.records.get(id);
         let flavor = record.and_then(|r| config.flavors.get(&r.flavor));
--- a/crates/pulleywood-scheduler/src/fleet/scale_in.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_in.rs
@@ -57,7 +57,7 @@
 /// Ordinary machines of one type beyond what the work on that type needs. Those with
 /// the most bound work stay, then those not yet draining, then the fullest.
 fn beyond_need<'b>(config: &Config, history: &FleetHistory, bins: &[&'b Bin]) -> Vec<&'b Bin> {
-    let used = |b: &Bin| b.free.used_of(&b.capacity).clamp(0.0, 1.0);
+    let used = |b: &Bin| b.free.dominant_share_in_use(&b.capacity).clamp(0.0, 1.0);
     let load: f64 = bins.iter().map(|b| used(b)).sum();
     let pinned: f64 = bins.iter().map(|b| b.pinned).sum();
     let spot = bins.iter().filter(|b| b.kind.spot).count() as f64;
@@ -100,7 +100,7 @@
     let in_use: f64 = bins
         .iter()
         .filter(|b| needs_headroom && b.kind.spot == spot)
-        .map(|b| 1.0 - b.free.share_of(&b.capacity))
+        .map(|b| 1.0 - b.free.dominant_share(&b.capacity))
         .sum();
     let mut idle: Vec<(f64, &MachineId, ShardId)> = bins
         .iter()
--- a/crates/pulleywood-scheduler/src/fleet/scale_out.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_out.rs
@@ -128,7 +128,9 @@
         let mut best: Option<(f64, Kind, &'a Flavor)> = None;
         for flavor in self.config.flavors.values() {
             let capacity = ResourceVector::of_flavor(flavor);
-            let fitting = capacity.times(&tasks.need).min(tasks.demand.count.max(1));
+            let fitting = capacity
+                .max_copies(&tasks.need)
+                .min(tasks.demand.count.max(1));
             if fitting == 0 {
                 continue;
             }
--- a/crates/pulleywood-scheduler/src/fleet/summary.rs
+++ b/crates/pulleywood-scheduler/src/fleet/summary.rs
@@ -26,7 +26,7 @@
             None => self.not_up += 1,
             Some(d) => {
                 self.idle += u32::from(d.idle_s >= 0.0);
-                self.in_use += ResourceVector::free_on(d).used_of(capacity);
+                self.in_use += ResourceVector::free_on(d).dominant_share_in_use(capacity);
             }
         }
     }
--- a/crates/pulleywood-scheduler/src/machine_types.rs
+++ b/crates/pulleywood-scheduler/src/machine_types.rs
@@ -35,38 +35,39 @@
 #[derive(Debug, Clone, Default)]
 pub struct MachineTypeDemand {
     /// When work with each set was last seen waiting.
-    seen: BTreeMap<MachineTypes, MonotonicTime>,
+    last_waiting: BTreeMap<MachineTypes, MonotonicTime>,
 }
 
 impl MachineTypeDemand {
     /// Work that was seen this long ago is likely to come again.
-    const REMEMBERED: Duration = Duration::from_secs(180);
+    const RETENTION: Duration = Duration::from_secs(180);
 
     /// Notes that work waited which could use these types.
-    pub fn note(&mut self, types: MachineTypes, now: MonotonicTime) {
-        let at = self.seen.entry(types).or_default();
+    pub fn record_waiting(&mut self, types: MachineTypes, now: MonotonicTime) {
+        let at = self.last_waiting.entry(types).or_default();
         *at = (*at).max(now);
     }
 
     /// Forgets work that was last seen long ago.
-    pub fn forget(&mut self, now: MonotonicTime) {
-        self.seen.retain(|_, at| now.since(*at) < Self::REMEMBERED);
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
+        self.last_waiting
+            .retain(|_, at| now.since(*at) < Self::RETENTION);
     }
 
     /// The types that a job leaves to work with fewer types to choose from.
-    pub fn left_by_job(&self, config: &Config, spec: &JobSpec) -> MachineTypes {
+    pub fn types_to_avoid_for_job(&self, config: &Config, spec: &JobSpec) -> MachineTypes {
         // A single type is left to nobody.
         if config.flavors.len() <= 1 {
             return MachineTypes::new();
         }
-        self.left_to_others(&of_job(config, spec))
+        self.types_to_avoid(&of_job(config, spec))
     }
 
     /// The types that work which may use `types` leaves to work with fewer types to
     /// choose from; none if that would leave it no type at all.
-    pub fn left_to_others(&self, types: &MachineTypes) -> MachineTypes {
+    pub fn types_to_avoid(&self, types: &MachineTypes) -> MachineTypes {
         let less_flexible = self
-            .seen
+            .last_waiting
             .keys()
             .filter(|other| other.len() < types.len())
             .filter(|other| other.is_subset(types));
--- a/crates/pulleywood-scheduler/src/placement/assign.rs
+++ b/crates/pulleywood-scheduler/src/placement/assign.rs
@@ -106,7 +106,7 @@
         let avoid = self
             .state
             .machine_type_demand
-            .left_by_job(self.config, &job.spec);
+            .types_to_avoid_for_job(self.config, &job.spec);
         let candidates = self.score_candidates(job, &need, &avoid);
         Assignment {
             job,
@@ -141,7 +141,7 @@
         let fitting: u32 = assignment
             .candidates
             .iter()
-            .map(|c| self.candidates[c.at].free.times(&assignment.need))
+            .map(|c| self.candidates[c.at].free.max_copies(&assignment.need))
             .sum();
         fitting >= assignment.job.waiting.len() && !assignment.job.gang_interrupted
     }
--- a/crates/pulleywood-scheduler/src/placement/borrowed.rs
+++ b/crates/pulleywood-scheduler/src/placement/borrowed.rs
@@ -8,7 +8,7 @@
 //! runs of the team.
 
 use crate::config::{Config, Team};
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use crate::shard::ShardState;
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
@@ -80,14 +80,14 @@
                 && slot.stop_grace_s.is_none()
             {
                 let sum = here.entry(spec.team.as_str()).or_default();
-                add(sum, ResourceVector::of_task(spec).slots());
+                add_slots(sum, ResourceVector::of_task(spec).slots());
             }
         }
         let by_team = here.into_iter().filter_map(|(name, here)| {
             let team = config.teams.get(name)?;
             let mut everywhere = here;
             if let Some(elsewhere) = state.usage_in_other_shards.get(name) {
-                add(&mut everywhere, *elsewhere);
+                add_slots(&mut everywhere, *elsewhere);
             }
             Some((name, TeamBorrowing::new(team, here, everywhere)))
         });
--- a/crates/pulleywood-scheduler/src/placement/candidates.rs
+++ b/crates/pulleywood-scheduler/src/placement/candidates.rs
@@ -1,7 +1,7 @@
 //! Candidate machines: those that may be given tasks now, with their resources.
 
 use crate::config::Config;
-use crate::resources::{MOST_TASKS, ResourceVector};
+use crate::resources::{MAX_TASKS_PER_MACHINE, ResourceVector};
 use crate::shard::ShardState;
 use crate::shard::machine::{Machine, Slot, SlotState};
 use pulleywood_protocol::cloud::Flavor;
@@ -80,10 +80,10 @@
             images: &machine.images,
             fetching: usage.fetching,
             fetch_queue_gb: usage.fetch_queue_gb,
-            pinned: usage.pinned.share_of(&capacity),
+            pinned: usage.pinned.dominant_share(&capacity),
             ends_per_s: usage.ends_per_s,
             next_heartbeat_s,
-            launches_left: (MOST_TASKS as usize)
+            launches_left: (MAX_TASKS_PER_MACHINE as usize)
                 .saturating_sub(machine.slots.len())
                 .min(MAX_LAUNCHES),
             planned: Vec::new(),
@@ -112,7 +112,7 @@
         let need = ResourceVector::of_task(spec);
         self.free -= need;
         if !spec.spot {
-            self.pinned += need.share_of(&self.capacity);
+            self.pinned += need.dominant_share(&self.capacity);
         }
         if spec.image_gb.0 > 0.0 && !self.has_image(spec) && !self.is_fetching(spec) {
             self.fetching.push(&spec.image);
--- a/crates/pulleywood-scheduler/src/placement/claim.rs
+++ b/crates/pulleywood-scheduler/src/placement/claim.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::queue::usage_in_all_shards;
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,14 +48,17 @@
     /// planned.
     pub(super) fn claim(&self, spec: &JobSpec, usage: &BTreeMap<String, Slots>) -> Claim<'a> {
         let mut own = usage_in_all_shards(self.state, &spec.team, usage);
-        add(&mut own, ResourceVector::of_task(spec).slots());
+        add_slots(&mut own, ResourceVector::of_task(spec).slots());
         let teams = &self.config.teams;
-        if !teams.get(&spec.team).is_some_and(|t| t.guarantees(own)) {
+        if !teams
+            .get(&spec.team)
+            .is_some_and(|t| t.guarantee_covers(own))
+        {
             return Claim::default();
         }
         let others = teams.iter().filter(|(name, _)| **name != spec.team);
         let borrowing = others
-            .filter(|(name, t)| !t.guarantees(usage_in_all_shards(self.state, name, usage)))
+            .filter(|(name, t)| !t.guarantee_covers(usage_in_all_shards(self.state, name, usage)))
             .map(|(name, _)| name.as_str());
         Claim {
             guaranteed: true,
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::candidates::CandidateMachine;
-use crate::resources::{ResourceVector, within};
+use crate::resources::{ResourceVector, within_limit};
 use crate::shard::Job;
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
@@ -54,7 +54,7 @@
         };
         let quotas = &self.state.quotas.teams;
         let quota = quotas.get(&spec.team).copied().unwrap_or_default();
-        within(
+        within_limit(
             usage.get(&spec.team).copied().unwrap_or_default(),
             ResourceVector::of_task(spec).slots(),
             quota,
--- a/crates/pulleywood-scheduler/src/placement/mod.rs
+++ b/crates/pulleywood-scheduler/src/placement/mod.rs
@@ -226,7 +226,7 @@
     };
     let waiting = queues.values().flatten();
     waiting.fold(unlimited, |least, queued| {
-        least.least(&ResourceVector::of_task(&queued.job.spec))
+        least.component_min(&ResourceVector::of_task(&queued.job.spec))
     })
 }
 
--- a/crates/pulleywood-scheduler/src/placement/preempt.rs
+++ b/crates/pulleywood-scheduler/src/placement/preempt.rs
@@ -88,7 +88,7 @@
             avoid: self
                 .state
                 .machine_type_demand
-                .left_by_job(self.config, spec),
+                .types_to_avoid_for_job(self.config, spec),
             preempts: self.may_preempt(spec, claim) && !self.capacity_may_return(spec),
             spares_avoided: age < transfer_time,
         }
--- a/crates/pulleywood-scheduler/src/placement/queue.rs
+++ b/crates/pulleywood-scheduler/src/placement/queue.rs
@@ -3,7 +3,7 @@
 
 use super::SchedulingCycle;
 use crate::config::Config;
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use crate::shard::{Job, ShardState};
 use pulleywood_protocol::job::{Rank, Shape};
 use pulleywood_protocol::record::Slots;
@@ -131,7 +131,7 @@
 /// The value of serving a job now, compared within its rank.
 fn value(state: &ShardState, job: &Job, now: MonotonicTime, config: &Config) -> f64 {
     let age = now.since(state.submitted_at(job));
-    let (open, longest_s) = config.open_objectives(&job.spec, age);
+    let (open, longest_s) = config.attainable_objectives(&job.spec, age);
     if age.as_secs_f64() > OVERDUE_OBJECTIVES * longest_s {
         return f64::MAX;
     }
@@ -147,7 +147,7 @@
 ) -> Slots {
     let mut sum = usage.get(team).copied().unwrap_or_default();
     if let Some(&elsewhere) = state.usage_in_other_shards.get(team) {
-        add(&mut sum, elsewhere);
+        add_slots(&mut sum, elsewhere);
     }
     sum
 }
@@ -155,7 +155,7 @@
 /// Adds slots to a team's usage.
 pub(super) fn add_usage(usage: &mut BTreeMap<String, Slots>, team: &str, slots: Slots) {
     match usage.get_mut(team) {
-        Some(sum) => add(sum, slots),
+        Some(sum) => add_slots(sum, slots),
         None => drop(usage.insert(team.to_owned(), slots)),
     }
 }
@@ -171,11 +171,11 @@
                 let team = self.config.teams.get(*name);
                 let mut usage = usage_in_all_shards(self.state, name, &self.usage);
                 let load = self.load(name, usage);
-                add(
+                add_slots(
                     &mut usage,
                     ResourceVector::of_task(&queued.job.spec).slots(),
                 );
-                let guaranteed = team.is_some_and(|t| t.guarantees(usage));
+                let guaranteed = team.is_some_and(|t| t.guarantee_covers(usage));
                 let order = (guaranteed, queued.rank, queued.ignores_fair_share);
                 Some((order, load, *name))
             })
@@ -193,6 +193,6 @@
             gpus: usage.gpus.0,
             memory_gb: 0.0,
         };
-        usage.share_of(&self.capacity) / weight.max(MIN_WEIGHT)
+        usage.dominant_share(&self.capacity) / weight.max(MIN_WEIGHT)
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/reserve.rs
+++ b/crates/pulleywood-scheduler/src/placement/reserve.rs
@@ -88,7 +88,7 @@
                     && zone_allows(job, &zones, index, c.zone)
                     && capacity_without_services(c).fits(&need)
             })
-            .map(|(at, c)| (c.free.used_of(&c.capacity), c.id, at))
+            .map(|(at, c)| (c.free.dominant_share_in_use(&c.capacity), c.id, at))
             .collect();
         usable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(b.1)));
         usable.truncate(count);
--- a/crates/pulleywood-scheduler/src/placement/score.rs
+++ b/crates/pulleywood-scheduler/src/placement/score.rs
@@ -62,7 +62,7 @@
         // Fuller machines come first, so that others fall idle and can be
         // released. Work that may not run on spot machines is packed by itself.
         let spread = if spec.spot {
-            1.0 - self.free.used_of(&self.capacity)
+            1.0 - self.free.dominant_share_in_use(&self.capacity)
         } else {
             1.0 - self.pinned
         };
--- a/crates/pulleywood-scheduler/src/quota.rs
+++ b/crates/pulleywood-scheduler/src/quota.rs
@@ -14,12 +14,12 @@
 const TOLERANCE: f64 = 1e-6;
 
 /// The first quotas: every limit divided evenly.
-pub fn first(config: &Config, shards: u32) -> QuotaRecord {
+pub fn initial_quotas(config: &Config, shards: u32) -> QuotaRecord {
     let share = |limit: f64| limit / f64::from(shards.max(1));
     let teams = config
         .teams
         .iter()
-        .filter(|(_, team)| team.limited())
+        .filter(|(_, team)| team.has_limit())
         .map(|(name, team)| {
             let slots = Slots {
                 cpus: Amount(share(team.limit.cpus.0)),
@@ -33,7 +33,7 @@
 
 /// What one shard uses and wants of one team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Need {
+pub struct QuotaNeed {
     /// In use, unknown slots counted.
     pub used: Slots,
     /// Wanted by waiting tasks on top of that.
@@ -67,7 +67,7 @@
 
 /// What the coordinator does next about quotas.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum QuotaStep {
     /// Write this shard's larger quota, on condition that no shard's record has
     /// changed.
     Grow(ShardId, QuotaRecord),
@@ -84,10 +84,10 @@
 pub fn balance(
     config: &Config,
     records: &BTreeMap<ShardId, QuotaRecord>,
-    needs: &BTreeMap<ShardId, BTreeMap<String, Need>>,
-) -> Option<Step> {
+    needs: &BTreeMap<ShardId, BTreeMap<String, QuotaNeed>>,
+) -> Option<QuotaStep> {
     let mut shrink: Option<(ShardId, BTreeMap<String, Slots>)> = None;
-    for (name, team) in config.teams.iter().filter(|(_, t)| t.limited()) {
+    for (name, team) in config.teams.iter().filter(|(_, t)| t.has_limit()) {
         for resource in [Resource::Cpus, Resource::Gpus] {
             let limit = resource.of(team.limit);
             if limit <= 0.0 {
@@ -104,9 +104,9 @@
                 continue;
             };
             if let Some(record) = quotas.grown_record(receiver.shard) {
-                return Some(Step::Grow(receiver.shard, record));
+                return Some(QuotaStep::Grow(receiver.shard, record));
             }
-            let Some((donor, amount)) = quotas.donation(&receiver) else {
+            let Some((donor, amount)) = quotas.donor_and_quota(&receiver) else {
                 continue;
             };
             let (shard, teams) = shrink.get_or_insert((donor, BTreeMap::new()));
@@ -119,7 +119,7 @@
             }
         }
     }
-    shrink.map(|(shard, teams)| Step::Shrink(shard, teams))
+    shrink.map(|(shard, teams)| QuotaStep::Shrink(shard, teams))
 }
 
 /// The shard whose quota grows next, of one team and resource.
@@ -136,7 +136,7 @@
     resource: Resource,
     limit: f64,
     records: &'a BTreeMap<ShardId, QuotaRecord>,
-    needs: &'a BTreeMap<ShardId, BTreeMap<String, Need>>,
+    needs: &'a BTreeMap<ShardId, BTreeMap<String, QuotaNeed>>,
 }
 
 impl<'a> ResourceQuotas<'a> {
@@ -147,13 +147,13 @@
         slots.map_or(0.0, |s| self.resource.of(*s))
     }
 
-    fn need(&self, shard: &ShardId) -> Option<Need> {
+    fn need(&self, shard: &ShardId) -> Option<QuotaNeed> {
         let needs = self.needs.get(shard);
         needs.and_then(|n| n.get(self.team)).copied()
     }
 
     /// What a shard uses and wants beyond its quota.
-    fn lack(&self, shard: &ShardId) -> f64 {
+    fn shortfall(&self, shard: &ShardId) -> f64 {
         self.need(shard).map_or(0.0, |need| {
             let (used, wanted) = self.used_and_wanted(need);
             (used + wanted - self.quota(shard)).max(0.0)
@@ -174,7 +174,7 @@
         })
     }
 
-    fn used_and_wanted(&self, need: Need) -> (f64, f64) {
+    fn used_and_wanted(&self, need: QuotaNeed) -> (f64, f64) {
         (self.resource.of(need.used), self.resource.of(need.wanted))
     }
 
@@ -183,15 +183,18 @@
     /// it. Otherwise it is the shard that lacks most.
     fn receiver(&self) -> Option<Receiver<'a>> {
         let is_stuck = |shard: &&ShardId| {
-            self.need(shard).is_some_and(|n| n.stuck) && self.lack(shard) > TOLERANCE
+            self.need(shard).is_some_and(|n| n.stuck) && self.shortfall(shard) > TOLERANCE
         };
         let stuck: Vec<&ShardId> = self.records.keys().filter(is_stuck).collect();
         let gathering = stuck.iter().copied().max_by(|a, b| {
             let most_unused = self.unused(a).total_cmp(&self.unused(b));
             most_unused.then(b.cmp(a))
         });
-        let lacking = self.records.keys().filter(|p| self.lack(p) > TOLERANCE);
-        let poorest = lacking.max_by(|a, b| self.lack(a).total_cmp(&self.lack(b)));
+        let lacking = self
+            .records
+            .keys()
+            .filter(|p| self.shortfall(p) > TOLERANCE);
+        let poorest = lacking.max_by(|a, b| self.shortfall(a).total_cmp(&self.shortfall(b)));
         let shard = *gathering.or(poorest)?;
         Some(Receiver { shard, stuck })
     }
@@ -203,7 +206,7 @@
         (spare > TOLERANCE).then(|| {
             let mut record = self.records[&shard].clone();
             let slots = record.teams.entry(self.team.to_owned()).or_default();
-            let amount = self.quota(&shard) + spare.min(self.lack(&shard));
+            let amount = self.quota(&shard) + spare.min(self.shortfall(&shard));
             self.resource.set(slots, amount);
             record.epoch += 1;
             record
@@ -213,7 +216,7 @@
     /// The shard with the most to spare, and what its quota shrinks to. It keeps what
     /// it uses and wants; if it is stuck, it keeps what it uses, as nothing that waits
     /// there can use the rest.
-    fn donation(&self, receiver: &Receiver<'_>) -> Option<(ShardId, f64)> {
+    fn donor_and_quota(&self, receiver: &Receiver<'_>) -> Option<(ShardId, f64)> {
         let spares = |shard: &ShardId| {
             if receiver.stuck.contains(&shard) {
                 self.unused(shard).max(0.0)
@@ -226,14 +229,14 @@
             .keys()
             .filter(|p| **p != receiver.shard && spares(p) > TOLERANCE)
             .max_by(|a, b| spares(a).total_cmp(&spares(b)))?;
-        let amount = self.quota(donor) - spares(donor).min(self.lack(&receiver.shard));
+        let amount = self.quota(donor) - spares(donor).min(self.shortfall(&receiver.shard));
         Some((*donor, amount))
     }
 }
 
 /// A shard's record after it shrank its quota to `to`, at most, and to what is in use
 /// at least; none if nothing changes. No quota grows by it.
-pub fn shrunk(
+pub fn shrunk_record(
     record: &QuotaRecord,
     to: &BTreeMap<String, Slots>,
     used: &BTreeMap<String, Slots>,
--- a/crates/pulleywood-scheduler/src/resources.rs
+++ b/crates/pulleywood-scheduler/src/resources.rs
@@ -12,7 +12,7 @@
 
 /// Most tasks on one machine, however little they need: each heartbeat reports all of
 /// them, and the size of a message is limited.
-pub const MOST_TASKS: u32 = 400;
+pub const MAX_TASKS_PER_MACHINE: u32 = 400;
 
 /// Processors, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -70,7 +70,7 @@
     }
 
     /// The smaller of each of the two's amounts.
-    pub fn least(&self, other: &ResourceVector) -> ResourceVector {
+    pub fn component_min(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
@@ -80,7 +80,7 @@
 
     /// The dominant share of `capacity` that this takes: the largest of the shares of
     /// each resource. Resources that `capacity` lacks do not count.
-    pub fn share_of(&self, capacity: &ResourceVector) -> f64 {
+    pub fn dominant_share(&self, capacity: &ResourceVector) -> f64 {
         let share = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
         share(self.cpus, capacity.cpus)
             .max(share(self.gpus, capacity.gpus))
@@ -88,7 +88,7 @@
     }
 
     /// The dominant share of `capacity` that is in use when this is free.
-    pub fn used_of(&self, capacity: &ResourceVector) -> f64 {
+    pub fn dominant_share_in_use(&self, capacity: &ResourceVector) -> f64 {
         let used = |free: f64, all: f64| if all > 0.0 { 1.0 - free / all } else { 0.0 };
         used(self.cpus, capacity.cpus)
             .max(used(self.gpus, capacity.gpus))
@@ -96,18 +96,18 @@
     }
 
     /// How many times `need` fits into this, [`MOST_TASKS`] at most.
-    pub fn times(&self, need: &ResourceVector) -> u32 {
+    pub fn max_copies(&self, need: &ResourceVector) -> u32 {
         let times = |amount: f64, need: f64| {
             if need > TOLERANCE {
                 ((amount + TOLERANCE) / need).floor().max(0.0)
             } else {
-                f64::from(MOST_TASKS)
+                f64::from(MAX_TASKS_PER_MACHINE)
             }
         };
         times(self.cpus, need.cpus)
             .min(times(self.gpus, need.gpus))
             .min(times(self.memory_gb, need.memory_gb))
-            .min(f64::from(MOST_TASKS)) as u32
+            .min(f64::from(MAX_TASKS_PER_MACHINE)) as u32
     }
 
     /// The amounts that count against a team: all but memory.
@@ -136,7 +136,7 @@
 }
 
 /// Adds slots to a sum.
-pub fn add(sum: &mut Slots, slots: Slots) {
+pub fn add_slots(sum: &mut Slots, slots: Slots) {
     sum.cpus.0 += slots.cpus.0;
     sum.gpus.0 += slots.gpus.0;
 }
@@ -144,7 +144,7 @@
 /// Whether `used` and `need` together stay within `limit`, within a small tolerance.
 /// A resource is bounded only if its amount in `published`, the team's setting, is not
 /// 0: the limit itself may be 0 in a shard that has no quota.
-pub fn within(used: Slots, need: Slots, limit: Slots, published: Slots) -> bool {
+pub fn within_limit(used: Slots, need: Slots, limit: Slots, published: Slots) -> bool {
     let fits = |used: f64, need: f64, limit: f64, published: f64| {
         published <= 0.0 || used + need <= limit + TOLERANCE
     };
--- a/crates/pulleywood-scheduler/src/shard/batch_builder.rs
+++ b/crates/pulleywood-scheduler/src/shard/batch_builder.rs
@@ -88,7 +88,7 @@
             .then(|| FinalRecord::new(&job.spec, JobStatus::Done, job.done.len()));
         let uncommitted = job.done.iter().filter(|&i| !job.committed.contains(i));
         let tasks: Vec<u32> = uncommitted.collect();
-        let mut chunks: BTreeSet<u32> = tasks.iter().map(|i| i / config.chunk).collect();
+        let mut chunks: BTreeSet<u32> = tasks.iter().map(|i| i / config.chunk_tasks).collect();
         let first_own_record = matches!(stored_in, StoredIn::JobBatch(_)) && over.is_none();
         if job.needs_rewrite || first_own_record {
             chunks.insert(0);
@@ -153,7 +153,7 @@
             + usize::from(rewrites_batch)
             + writes.operations();
         self.jobs.is_empty()
-            || operations <= self.config.batch_ops && self.value_bytes <= MAX_VALUE_BYTES
+            || operations <= self.config.max_batch_operations && self.value_bytes <= MAX_VALUE_BYTES
     }
 
     pub(super) fn add(&mut self, writes: JobWrites) {
@@ -213,7 +213,7 @@
     ) -> Transaction {
         let JobWrites { id, job, .. } = writes;
         for &chunk in &writes.chunks {
-            let done = job.done.chunk_text(chunk, self.config.chunk);
+            let done = job.done.chunk_text(chunk, self.config.chunk_tasks);
             self.value_bytes += done.len() + JOB_RECORD_BYTES;
             if chunk == 0 {
                 transaction = transaction.write(key.clone(), &job.to_record(done));
--- a/crates/pulleywood-scheduler/src/shard/digest.rs
+++ b/crates/pulleywood-scheduler/src/shard/digest.rs
@@ -5,7 +5,7 @@
 
 use crate::config::Config;
 use crate::machine_types::MachineTypes;
-use crate::resources::{ResourceVector, add, within};
+use crate::resources::{ResourceVector, add_slots, within_limit};
 use crate::shard::machine::Machine;
 use crate::shard::{Job, ShardState};
 use pulleywood_protocol::job::Shape;
@@ -67,7 +67,7 @@
             // one task that it is tried with where there is no machine at all.
             let broken = job.health.is_broken();
             let count = if broken { 1 } else { job.waiting.len() };
-            if team.limited() {
+            if team.has_limit() {
                 self.add_wanted(&mut work, job, count, used, team.limit);
             }
             if job.health.is_backing_off(now) || (broken && !self.machines.is_empty()) {
@@ -93,10 +93,10 @@
         let team_used = used.get(team).copied().unwrap_or_default();
         let quota = self.quotas.teams.get(team).copied().unwrap_or_default();
         let blocks_all = work.quota_blocks_all.entry(team).or_insert(true);
-        *blocks_all &= !within(team_used, task, quota, limit);
+        *blocks_all &= !within_limit(team_used, task, quota, limit);
         let wanted = work.wanted.entry(team.clone()).or_default();
         for _ in 0..count.min(MAX_WANTED_TASKS) {
-            add(wanted, task);
+            add_slots(wanted, task);
         }
     }
 
@@ -125,9 +125,10 @@
                     continue;
                 }
                 let id = &slot.task.job;
-                let left_to_others = left_by_job
-                    .entry(id)
-                    .or_insert_with(|| self.machine_type_demand.left_by_job(config, spec));
+                let left_to_others = left_by_job.entry(id).or_insert_with(|| {
+                    self.machine_type_demand
+                        .types_to_avoid_for_job(config, spec)
+                });
                 if left_to_others.contains(&machine.record.flavor) {
                     *counts.entry(id).or_insert(0) += 1;
                 }
@@ -270,7 +271,7 @@
         lost_s: seconds_since(machine.last_round_trip_at),
         unreported: machine.unreported,
         quarantined: machine.quarantined || machine.reclaim_at.is_some(),
-        pinned: machine.pinned_resources().share_of(&whole),
+        pinned: machine.pinned_resources().dominant_share(&whole),
         held: machine.resources_by_rank(),
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/done_batch.rs
+++ b/crates/pulleywood-scheduler/src/shard/done_batch.rs
@@ -47,7 +47,7 @@
         }
         let aged = self
             .uncommitted_since
-            .is_none_or(|at| now.since(at) >= config.done_age());
+            .is_none_or(|at| now.since(at) >= config.max_commit_delay());
         aged.then_some(CommitUrgency::Overdue)
     }
 
--- a/crates/pulleywood-scheduler/src/shard/jobs.rs
+++ b/crates/pulleywood-scheduler/src/shard/jobs.rs
@@ -112,7 +112,7 @@
         }
         job.chunk_revisions.insert(chunk, revision);
         let mut done = TaskSet::new();
-        if done.add_chunk(&record.done, chunk, config.chunk, job.spec.tasks) {
+        if done.add_chunk(&record.done, chunk, config.chunk_tasks, job.spec.tasks) {
             job.mark_committed(&done);
         }
         self.dirty_jobs.insert(id.clone());
@@ -179,7 +179,7 @@
 /// they are launched again.
 fn committed_tasks(record: &JobRecord, config: &Config) -> TaskSet {
     let mut done = TaskSet::new();
-    if done.add_chunk(&record.done, 0, config.chunk, record.spec.tasks) {
+    if done.add_chunk(&record.done, 0, config.chunk_tasks, record.spec.tasks) {
         done
     } else {
         TaskSet::new()
--- a/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
+++ b/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
@@ -58,7 +58,7 @@
 
 impl Machine {
     fn has_lease_expired(&self, now: MonotonicTime, config: &Config) -> bool {
-        let lease = config.lease_surely_expired();
+        let lease = config.lease_expiry_bound();
         self.last_response_at.is_none_or(|at| now >= at + lease)
     }
 
--- a/crates/pulleywood-scheduler/src/shard/usage.rs
+++ b/crates/pulleywood-scheduler/src/shard/usage.rs
@@ -5,7 +5,7 @@
 //! limit by tasks that are not known yet.
 
 use crate::config::Config;
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use crate::shard::ShardState;
 use crate::shard::machine::{Machine, Slot, SlotState};
 use pulleywood_protocol::record::Slots;
@@ -24,13 +24,13 @@
                 if let Some(spec) = &slot.spec {
                     let slots = ResourceVector::of_task(spec).slots();
                     match by_team.iter_mut().find(|(team, _)| *team == spec.team) {
-                        Some((_, sum)) => add(sum, slots),
+                        Some((_, sum)) => add_slots(sum, slots),
                         None => by_team.push((&spec.team, slots)),
                     }
                 }
             }
             if machine.unreported || machine.has_unknown_attempts() {
-                add(&mut unknown, all_slots(machine, config));
+                add_slots(&mut unknown, all_slots(machine, config));
             }
         }
         let by_team = by_team.into_iter();
@@ -38,8 +38,8 @@
             .map(|(team, slots)| (team.to_owned(), slots))
             .collect();
         for (name, team) in &config.teams {
-            if team.limited() {
-                add(used.entry(name.clone()).or_default(), unknown);
+            if team.has_limit() {
+                add_slots(used.entry(name.clone()).or_default(), unknown);
             }
         }
         used
--- a/crates/pulleywood-scheduler/src/shard_selection.rs
+++ b/crates/pulleywood-scheduler/src/shard_selection.rs
@@ -15,24 +15,24 @@
     shard: ShardId,
     /// Tasks that find their image on a machine with free resources, counting what
     /// lower ranks hold.
-    warm: u32,
+    warm_tasks: u32,
     /// What is free beside what waits there, in machines.
-    free: f64,
+    free_machines: f64,
     /// The shard to which the job's id hashes; it decides between equals.
     by_hash: bool,
 }
 
 impl ShardScore {
     fn compare(&self, other: &ShardScore) -> Ordering {
-        self.warm
-            .cmp(&other.warm)
-            .then(self.free.total_cmp(&other.free))
+        self.warm_tasks
+            .cmp(&other.warm_tasks)
+            .then(self.free_machines.total_cmp(&other.free_machines))
             .then(self.by_hash.cmp(&other.by_hash))
     }
 }
 
 /// Machines that all tasks of a job would fill.
-pub fn size(config: &Config, spec: &JobSpec) -> f64 {
+pub fn size_in_machines(config: &Config, spec: &JobSpec) -> f64 {
     f64::from(spec.tasks) * machine_share(config, &ResourceVector::of_task(spec))
 }
 
@@ -40,7 +40,7 @@
 /// find their image, then the one with the most free resources. Shards that are being
 /// rebuilt are left out; if there is no other, the job's id decides. `sent`: machines'
 /// worth of work that was sent to a shard since its digest.
-pub fn choose(
+pub fn select_shard(
     config: &Config,
     spec: &JobSpec,
     shards: &BTreeMap<ShardId, Arc<ShardDigest>>,
@@ -63,7 +63,7 @@
 /// than its own, where the controllers' zones keep the shards' machines apart. The
 /// other shard has the machines that these tasks may use, and learns of them with the
 /// submission itself.
-pub fn spread(
+pub fn transfer_spread_tasks(
     config: &Config,
     record: &mut JobRecord,
     shards: &BTreeMap<ShardId, Arc<ShardDigest>>,
@@ -71,18 +71,18 @@
     sent: &BTreeMap<ShardId, f64>,
 ) {
     let spec = &record.spec;
-    let own_zone = config.zone_of(record.shard);
+    let own_zone = config.preferred_zone(record.shard);
     if !spec.spread || spec.tasks < 2 || spec.shape == Shape::Gang || own_zone.is_none() {
         return;
     }
     let mut others = shards.clone();
-    others.retain(|shard, _| config.zone_of(*shard) != own_zone);
+    others.retain(|shard, _| config.preferred_zone(*shard) != own_zone);
     if others.is_empty() {
         return;
     }
-    let other = choose(config, spec, &others, machines, sent);
+    let other = select_shard(config, spec, &others, machines, sent);
     if others.contains_key(&other) {
-        let zone = config.zone_of(other).map(str::to_owned);
+        let zone = config.preferred_zone(other).map(str::to_owned);
         let mut tasks = TaskSet::new();
         for index in spec.zone_limit()..spec.tasks {
             tasks.insert(index);
@@ -125,8 +125,8 @@
         .sum();
     ShardScore {
         shard: digest.shard,
-        warm,
-        free: free - waiting - sent,
+        warm_tasks: warm,
+        free_machines: free - waiting - sent,
         by_hash: digest.shard == by_hash,
     }
 }
@@ -156,12 +156,12 @@
             };
         }
     }
-    free.times(&ResourceVector::of_task(spec))
+    free.max_copies(&ResourceVector::of_task(spec))
 }
 
 /// The share of a machine that resources take, on the type where it is least.
 fn machine_share(config: &Config, resources: &ResourceVector) -> f64 {
     let flavors = config.flavors.values();
-    let shares = flavors.map(|f| resources.share_of(&ResourceVector::of_flavor(f)));
+    let shares = flavors.map(|f| resources.dominant_share(&ResourceVector::of_flavor(f)));
     shares.fold(f64::INFINITY, f64::min)
 }
--- a/crates/pulleywood-scheduler/tests/fleet.rs
+++ b/crates/pulleywood-scheduler/tests/fleet.rs
@@ -504,7 +504,7 @@
     ];
     for (homes, free, moves, transfers) in cases {
         let mut fleet = Fleet::new();
-        fleet.config.homes = homes.to_vec();
+        fleet.config.controller_zones = homes.to_vec();
         fleet.machine(B, 1, 0.0, Rank::Idle, 5.0);
         let demand = demand(1, Rank::Standard, true);
         fleet.needs(A, Demand { free, ..demand });
--- a/crates/pulleywood-scheduler/tests/placement.rs
+++ b/crates/pulleywood-scheduler/tests/placement.rs
@@ -591,7 +591,10 @@
                 ..spec(9, 1)
             };
             let types = machine_types::of_job(&harness.config, &one);
-            harness.state.machine_type_demand.note(types, at(0.0));
+            harness
+                .state
+                .machine_type_demand
+                .record_waiting(types, at(0.0));
         }
         let small = JobSpec {
             rank: Rank::Urgent,
@@ -632,7 +635,10 @@
             ..spec(9, 1)
         };
         let types = machine_types::of_job(&harness.config, &large);
-        harness.state.machine_type_demand.note(types, at(0.0));
+        harness
+            .state
+            .machine_type_demand
+            .record_waiting(types, at(0.0));
         harness.submit(large, false);
         let first = harness.heartbeat(0, 1, vec![]);
         let (task, attempt) = launches(&harness.heartbeat_and_answer(&first, 0.0)).remove(0);
--- a/crates/pulleywood-scheduler/tests/quota.rs
+++ b/crates/pulleywood-scheduler/tests/quota.rs
@@ -4,14 +4,14 @@
 
 use common::*;
 use pulleywood_protocol::ShardId;
-use pulleywood_scheduler::quota::{Need, Step, balance, first, shrunk};
+use pulleywood_scheduler::quota::{QuotaNeed, QuotaStep, balance, initial_quotas, shrunk_record};
 use std::collections::BTreeMap;
 
 #[test]
 fn a_quota_grows_only_after_another_was_shrunk() {
     let mut config = config();
     config.teams.get_mut("red").unwrap().limit = slots(0.0, 9.0);
-    let record = first(&config, 3);
+    let record = initial_quotas(&config, 3);
     let mut records: BTreeMap<_, _> = (0..3).map(|p| (ShardId(p), record.clone())).collect();
     let sum = |records: &BTreeMap<ShardId, pulleywood_protocol::record::QuotaRecord>| -> f64 {
         records.values().map(|r| r.teams["red"].gpus.0).sum()
@@ -21,7 +21,7 @@
     let need = |used, wanted| {
         BTreeMap::from([(
             "red".to_owned(),
-            Need {
+            QuotaNeed {
                 used: slots(0.0, used),
                 wanted: slots(0.0, wanted),
                 stuck: false,
@@ -29,7 +29,7 @@
         )])
     };
     let needs = BTreeMap::from([(ShardId(0), need(3.0, 5.0)), (ShardId(1), need(2.0, 0.0))]);
-    let Some(Step::Shrink(shard, to)) = balance(&config, &records, &needs) else {
+    let Some(QuotaStep::Shrink(shard, to)) = balance(&config, &records, &needs) else {
         panic!("a shrink comes first");
     };
     assert_eq!(
@@ -37,14 +37,14 @@
         ShardId(1),
         "a leaderless shard's slots count as used"
     );
-    let next = shrunk(
+    let next = shrunk_record(
         &records[&shard],
         &to,
         &BTreeMap::from([("red".into(), slots(0.0, 2.0))]),
     );
     records.insert(shard, next.unwrap());
     assert_eq!(sum(&records), 8.0);
-    let Some(Step::Grow(shard, record)) = balance(&config, &records, &needs) else {
+    let Some(QuotaStep::Grow(shard, record)) = balance(&config, &records, &needs) else {
         panic!("then the shard that lacks slots grows");
     };
     assert_eq!(shard, ShardId(0));
@@ -57,14 +57,14 @@
 fn a_quota_never_shrinks_below_use() {
     let mut config = config();
     config.teams.get_mut("red").unwrap().limit = slots(0.0, 9.0);
-    let record = first(&config, 1);
+    let record = initial_quotas(&config, 1);
     let cases = [
         (2.0, 5.0, Some(5.0)),
         (7.0, 5.0, Some(7.0)),
         (9.0, 0.0, None),
     ];
     for (used, to, expected) in cases {
-        let next = shrunk(
+        let next = shrunk_record(
             &record,
             &BTreeMap::from([("red".into(), slots(0.0, to))]),
             &BTreeMap::from([("red".into(), slots(0.0, used))]),
@@ -75,7 +75,7 @@
 
 #[test]
 fn teams_without_a_limit_need_no_quota() {
-    assert!(first(&config(), 3).teams.is_empty());
+    assert!(initial_quotas(&config(), 3).teams.is_empty());
 }
 
 #[test]
@@ -89,7 +89,7 @@
         for p in 0..shards {
             let mut harness = ShardHarness::new(&["a"]);
             harness.config = config.clone();
-            harness.state.quotas = first(&config, shards);
+            harness.state.quotas = initial_quotas(&config, shards);
             let mut job = spec(u64::from(p) + 1, 3);
             job.gpus.0 = gpus;
             harness.submit(job, false);
@@ -101,7 +101,7 @@
             for (p, harness) in &states {
                 let digest = harness.state.digest(at(1.0), &harness.config);
                 let of = |m: &BTreeMap<String, _>| m.get("red").copied().unwrap_or_default();
-                let need = Need {
+                let need = QuotaNeed {
                     used: of(&digest.used),
                     wanted: of(&digest.wanted),
                     stuck: digest.stuck.contains("red"),
@@ -113,12 +113,12 @@
                 .map(|(p, harness)| (*p, harness.state.quotas.clone()))
                 .collect();
             match balance(&config, &records, &needs) {
-                Some(Step::Grow(p, record)) => {
+                Some(QuotaStep::Grow(p, record)) => {
                     states.get_mut(&p).unwrap().state.quotas = record;
                 }
-                Some(Step::Shrink(p, to)) => {
+                Some(QuotaStep::Shrink(p, to)) => {
                     let used = states[&p].state.usage_by_team(&config);
-                    let next = shrunk(&records[&p], &to, &used);
+                    let next = shrunk_record(&records[&p], &to, &used);
                     states.get_mut(&p).unwrap().state.quotas = next.unwrap();
                 }
                 None => break,
@@ -153,11 +153,11 @@
                 (format!("t{n}"), team)
             })
             .collect();
-        let record = first(&config, shards);
+        let record = initial_quotas(&config, shards);
         let mut records: BTreeMap<_, _> =
             (0..shards).map(|p| (ShardId(p), record.clone())).collect();
         let demanding_shard = |n: u32| ShardId(n % shards);
-        let mut needs: BTreeMap<ShardId, BTreeMap<String, Need>> =
+        let mut needs: BTreeMap<ShardId, BTreeMap<String, QuotaNeed>> =
             (0..shards).map(|p| (ShardId(p), BTreeMap::new())).collect();
         for n in 0..teams {
             for (shard, need) in &mut needs {
@@ -166,9 +166,9 @@
                 } else {
                     0.0
                 };
-                let wants = Need {
+                let wants = QuotaNeed {
                     wanted: slots(wanted, 0.0),
-                    ..Need::default()
+                    ..QuotaNeed::default()
                 };
                 need.insert(format!("t{n}"), wants);
             }
@@ -178,9 +178,9 @@
             steps += 1;
             assert!(steps <= 3 * shards * teams, "{shards} {teams}");
             match step {
-                Step::Grow(shard, record) => drop(records.insert(shard, record)),
-                Step::Shrink(shard, to) => {
-                    let next = shrunk(&records[&shard], &to, &BTreeMap::new());
+                QuotaStep::Grow(shard, record) => drop(records.insert(shard, record)),
+                QuotaStep::Shrink(shard, to) => {
+                    let next = shrunk_record(&records[&shard], &to, &BTreeMap::new());
                     records.insert(shard, next.unwrap());
                 }
             }
--- a/crates/pulleywood-scheduler/tests/shard_selection.rs
+++ b/crates/pulleywood-scheduler/tests/shard_selection.rs
@@ -104,7 +104,7 @@
         let sent = BTreeMap::from([(ShardId(1), sent)]);
         let mut config = config();
         config.shards = 2;
-        let chosen = shard_selection::choose(&config, &spec(1, 2), &shards, &machines, &sent);
+        let chosen = shard_selection::select_shard(&config, &spec(1, 2), &shards, &machines, &sent);
         assert_eq!(chosen, ShardId(expected), "{name}");
     }
 }
@@ -113,7 +113,7 @@
 fn zoned() -> pulleywood_scheduler::Config {
     let mut config = config();
     config.shards = 3;
-    config.homes = vec!["a".into(), "b".into(), "a".into()];
+    config.controller_zones = vec!["a".into(), "b".into(), "a".into()];
     config
 }
 
@@ -124,7 +124,7 @@
     for (zone, shards) in [("a", &[0, 2][..]), ("b", &[1]), ("c", &[0, 1, 2])] {
         let mut seen = std::collections::BTreeSet::new();
         for n in 0..100 {
-            seen.insert(config.shard_for(&machine(n), zone).0);
+            seen.insert(config.registering_shard(&machine(n), zone).0);
         }
         assert!(seen.iter().eq(shards), "{zone}: {seen:?}");
     }
@@ -133,7 +133,7 @@
 #[test]
 fn half_of_a_spread_job_is_transferred_on_submission() {
     // (spread, tasks, zones of the controllers, shard, transferred to)
-    let apart = zoned().homes;
+    let apart = zoned().controller_zones;
     let cases = [
         (true, 6, &apart[..], 0, Some((1, 3))),
         (true, 5, &apart[..], 1, Some((0, 2))),
@@ -143,7 +143,7 @@
     ];
     for (spread, tasks, homes, from, expected) in cases {
         let mut config = zoned();
-        config.homes = homes.to_vec();
+        config.controller_zones = homes.to_vec();
         let mut shards = BTreeMap::new();
         let mut machines = BTreeMap::new();
         for n in 0..2 {
@@ -154,7 +154,13 @@
         let mut record = job_record(spec(1, tasks));
         record.spec.spread = spread;
         record.shard = ShardId(from);
-        shard_selection::spread(&config, &mut record, &shards, &machines, &BTreeMap::new());
+        shard_selection::transfer_spread_tasks(
+            &config,
+            &mut record,
+            &shards,
+            &machines,
+            &BTreeMap::new(),
+        );
         let transferred = record
             .transferred
             .first()
@@ -163,7 +169,7 @@
         if let Some((to, n)) = transferred {
             assert_eq!(
                 record.transferred[0].zone.as_deref(),
-                config.zone_of(ShardId(to))
+                config.preferred_zone(ShardId(to))
             );
             assert_eq!(record.share(ShardId(from)).len(), tasks - n);
         }
--- a/crates/pulleywood-scheduler/tests/work.rs
+++ b/crates/pulleywood-scheduler/tests/work.rs
@@ -7,7 +7,7 @@
 use pulleywood_protocol::cbor::{self, Amount};
 use pulleywood_protocol::worker::{Cause, HeartbeatResponse, TaskState};
 use pulleywood_protocol::{Attempt, FencingToken, Revision, TaskId};
-use pulleywood_scheduler::resources::MOST_TASKS;
+use pulleywood_scheduler::resources::MAX_TASKS_PER_MACHINE;
 
 /// Most bytes of a message to or from a worker.
 const MESSAGE: usize = 64 * 1024;
@@ -31,7 +31,7 @@
         };
         assert!(cbor::encode(&answer).len() < MESSAGE);
     }
-    assert_eq!(on.len(), MOST_TASKS as usize);
+    assert_eq!(on.len(), MAX_TASKS_PER_MACHINE as usize);
 }
 
 #[test]
--- a/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
@@ -27,7 +27,7 @@
         let Some(kind) = self.booting.remove(id) else {
             return;
         };
-        let shard = self.config.shard_for(id, &kind.zone);
+        let shard = self.config.registering_shard(id, &kind.zone);
         let revision = self.next_revision();
         let record = MachineRecord {
             flavor: kind.flavor,
--- a/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
@@ -8,10 +8,10 @@
         for digest in self.digests.values() {
             for demand in &digest.demand {
                 let types = machine_types::of_demand(&self.config, demand);
-                self.machine_type_demand.note(types, self.now);
+                self.machine_type_demand.record_waiting(types, self.now);
             }
         }
-        self.machine_type_demand.forget(self.now);
+        self.machine_type_demand.remove_expired(self.now);
         for state in self.shards.values_mut() {
             state
                 .machine_type_demand
@@ -95,7 +95,7 @@
     pub(super) fn balance(&mut self) {
         let need = |digest: &ShardDigest| {
             let teams = self.config.teams.keys().map(|team| {
-                let need = Need {
+                let need = QuotaNeed {
                     used: digest.used.get(team).copied().unwrap_or_default(),
                     wanted: digest.wanted.get(team).copied().unwrap_or_default(),
                     stuck: digest.stuck.contains(team),
@@ -105,17 +105,17 @@
             teams.collect::<BTreeMap<_, _>>()
         };
         let needs = self.digests.iter().map(|(shard, d)| (*shard, need(d)));
-        let needs: BTreeMap<ShardId, BTreeMap<String, Need>> = needs.collect();
+        let needs: BTreeMap<ShardId, BTreeMap<String, QuotaNeed>> = needs.collect();
         match quota::balance(&self.config, &self.quotas, &needs) {
             None => self.digest.number(0),
-            Some(Step::Grow(shard, record)) => {
+            Some(QuotaStep::Grow(shard, record)) => {
                 self.digest.number(1);
                 self.set_quota(shard, record);
             }
-            Some(Step::Shrink(shard, to)) => {
+            Some(QuotaStep::Shrink(shard, to)) => {
                 self.digest.number(2);
                 let used = self.shards[&shard].usage_by_team(&self.config);
-                if let Some(record) = quota::shrunk(&self.quotas[&shard], &to, &used) {
+                if let Some(record) = quota::shrunk_record(&self.quotas[&shard], &to, &used) {
                     self.set_quota(shard, record);
                 }
             }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
@@ -40,19 +40,20 @@
 
     pub(super) fn submit(&mut self) {
         let spec = self.random_spec();
-        let refused = self.config.never_runs(&spec);
+        let refused = self.config.unschedulable_reason(&spec);
         self.digest.flag(refused.is_some());
         if refused.is_some() {
             return;
         }
-        let shard = shard_selection::choose(
+        let shard = shard_selection::select_shard(
             &self.config,
             &spec,
             &self.digests,
             &self.records,
             &self.sent,
         );
-        *self.sent.entry(shard).or_default() += shard_selection::size(&self.config, &spec);
+        *self.sent.entry(shard).or_default() +=
+            shard_selection::size_in_machines(&self.config, &spec);
         let mut record = JobRecord {
             spec,
             at_ms: self.now.0,
@@ -60,7 +61,7 @@
             transferred: Vec::new(),
             done: String::new(),
         };
-        shard_selection::spread(
+        shard_selection::transfer_spread_tasks(
             &self.config,
             &mut record,
             &self.digests,
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -23,7 +23,7 @@
 };
 use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot, Kind};
 use pulleywood_scheduler::machine_types::{self, MachineTypeDemand};
-use pulleywood_scheduler::quota::{self, Need, Step};
+use pulleywood_scheduler::quota::{self, QuotaNeed, QuotaStep};
 use pulleywood_scheduler::shard::HeartbeatOutcome;
 use pulleywood_scheduler::shard::failure_attribution::HealthEvent;
 use pulleywood_scheduler::shard::reachability::{Reachability, reachability};
@@ -128,7 +128,7 @@
             config,
         };
         for shard in (0..simulation.config.shards).map(ShardId) {
-            let first = quota::first(&simulation.config, simulation.config.shards);
+            let first = quota::initial_quotas(&simulation.config, simulation.config.shards);
             simulation.quotas.insert(shard, first);
             simulation.lead(
                 shard,
--- a/crates/pulleywood-testkit/examples/decisions/simulation/random_config.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/random_config.rs
@@ -39,10 +39,10 @@
     let zones = ["a", "b", "c"];
     config.zones = zones.iter().map(|z| (*z).to_owned()).collect();
     if rng.bool() {
-        config.homes = config.zones.clone();
+        config.controller_zones = config.zones.clone();
     }
-    config.chunk = 64;
-    config.batch_ops = 8 + rng.usize(0..12);
+    config.chunk_tasks = 64;
+    config.max_batch_operations = 8 + rng.usize(0..12);
     let flavors = [
         flavor("g4", 16.0, 4.0, 64.0, 4.0, &["a", "b"]),
         flavor("c16", 16.0, 0.0, 32.0, 1.0, &zones),
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -90,9 +90,9 @@
         match previous {
             None => now,
             Some(previous) if previous.settled && previous.holder.member == self.name() => {
-                now + config.lease_surely_expired()
+                now + config.lease_expiry_bound()
             }
-            Some(_) => now + config.previous_leader_span(),
+            Some(_) => now + config.previous_leader_window(),
         }
     }
 
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -115,7 +115,7 @@
 
     /// Whether it answers workers of a shard.
     pub fn serves(&self, shard: ShardId, now: MonotonicTime, config: &Config) -> bool {
-        let answers = self.up && now < self.contact + config.answer_span();
+        let answers = self.up && now < self.contact + config.response_window();
         answers && self.held.contains_key(&shard)
     }
 
--- a/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
@@ -106,7 +106,7 @@
     let mut config = samples::config(controllers as u32);
     config.heartbeat_interval = Duration::from_secs(2);
     config.lease = Duration::from_secs(12);
-    config.cancel = Duration::from_secs(30);
+    config.cancellation_limit = Duration::from_secs(30);
     config.policy.shard_lease_s = 6.0;
     config.policy.reserve_jobs = 0.0;
     config
@@ -373,7 +373,7 @@
 
     fn finish(mut self) -> Outcome {
         let expected = Expected {
-            cancel_ms: self.config.cancel.as_millis() as u64,
+            cancel_ms: self.config.cancellation_limit.as_millis() as u64,
             ranks: self.ranks.clone(),
             // Time for a stop, the fetch of several images, and the heartbeat in between.
             yield_ms: 30_000,
