--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of the decisions: the platform's settings, and the operators' policy.
+//! Configuration of the scheduler: the platform's settings and the operators' policy.
 
 use crate::resources::{ResourceVector, within_limit};
 use pulleywood_protocol::cbor::Amount;
@@ -11,73 +11,79 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A team's weight unless the policy sets it.
+/// Weight of a team that the policy does not set.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// The default lease of a shard's leader is this share of a worker's lease, within bounds
-/// that keep renewals cheap and failovers short.
+/// Default lease of a shard's leader, as a fraction of a worker's lease. The bounds
+/// below keep renewals cheap and failovers short.
 const SHARD_LEASE_RATIO: f64 = 0.5;
 const MIN_SHARD_LEASE_S: f64 = 3.0;
 const MAX_SHARD_LEASE_S: f64 = 10.0;
-/// Estimated bytes of one machine's record in a batch.
+/// Estimated bytes of one machine's record in a machine batch.
 const MACHINE_RECORD_BYTES: usize = 220;
-/// The share of a value that is left for what surrounds it in a message: 1/64.
-const MESSAGE_OVERHEAD: usize = 64;
-/// Done tasks gather for this many leases before their record is written.
-const DONE_AGE_LEASES: u32 = 2;
-/// Allowance for a heartbeat's response to arrive.
+/// A stored value leaves 1/64 of its size to the message that encloses it.
+const MESSAGE_OVERHEAD_DIVISOR: usize = 64;
+/// Number of worker leases for which done tasks are collected before they are
+/// committed.
+const MAX_COMMIT_DELAY_LEASES: u32 = 2;
+/// Allowance for the transmission of a heartbeat response.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
-/// The `kind` of an objective for the end of a job; others are for its start.
-const FINISHED: &str = "finished";
+/// The `kind` of an objective on when a job finishes; all others are on when it starts.
+const FINISHED_OBJECTIVE_KIND: &str = "finished";
 
-/// One team's guarantee, limit and weight. Amounts of 0 mean none.
+/// Guarantee, limit and weight of one team. An amount of 0 means no guarantee or no
+/// limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
-    /// Guaranteed slots.
+    /// Slots that the team is guaranteed.
     pub guarantee: Slots,
-    /// Most slots.
+    /// Slots that the team may use at most.
     pub limit: Slots,
-    /// Fair share relative to other teams.
+    /// Share of resources relative to other teams.
     pub weight: f64,
 }
 
 impl Team {
-    /// Whether any resource is limited.
+    /// Whether any resource of the team is limited.
     pub fn has_limit(&self) -> bool {
         self.limit.cpus.0 > 0.0 || self.limit.gpus.0 > 0.0
     }
 
-    /// Whether this usage, over all shards, lies within the guarantee.
+    /// Whether this usage, summed over all shards, is within the team's guarantee.
     pub fn guarantee_covers(&self, used: Slots) -> bool {
-        let any = self.guarantee.cpus.0 > 0.0 || self.guarantee.gpus.0 > 0.0;
-        any && within_limit(used, Slots::default(), self.guarantee, self.guarantee)
+        let has_guarantee = self.guarantee.cpus.0 > 0.0 || self.guarantee.gpus.0 > 0.0;
+        has_guarantee && within_limit(used, Slots::default(), self.guarantee, self.guarantee)
     }
 }
 
-/// The operators' levers. Each has a default and can be set by the policy script.
+/// Parameters that operators can tune. Each has a default, which the policy script can
+/// override.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// Weight of each team; 1 if absent.
     pub weights: BTreeMap<String, f64>,
     /// Length of a shard leader's lease, in seconds.
     pub shard_lease_s: f64,
-    /// Headroom: capacity kept free, as a share of what is in use.
+    /// Headroom: capacity that is kept free, as a fraction of the capacity in use.
     pub cushion: f64,
-    /// Service jobs, of the largest size seen, for which capacity is reserved.
+    /// Number of service jobs, each as large as the largest seen, for which capacity is
+    /// reserved.
     pub reserve_jobs: f64,
-    /// Boot times that spot work waits before ordinary machines are rented for it.
+    /// Number of machine boot times that spot work waits before on-demand machines are
+    /// rented for it.
     pub overflow: f64,
-    /// Seconds for which a machine may idle before it is given back.
+    /// Seconds that a machine may be idle before it is released.
     pub idle_s: f64,
-    /// Seconds of delay that spot work accepts to keep off ordinary machines.
+    /// Seconds of delay that spot work accepts to avoid on-demand machines.
     pub spot_bias_s: f64,
-    /// Seconds after which a job without a started task is starved and comes first.
+    /// Seconds after which a job of which no task has started counts as starved and is
+    /// served first.
     pub patience_s: f64,
-    /// Different jobs whose tasks fail on a machine before it is quarantined.
+    /// Number of different jobs that must fail on a machine before it is quarantined.
     pub sick_jobs: u32,
 }
 
 impl Policy {
-    /// The defaults under the platform's settings.
+    /// Returns the defaults that apply under the platform's settings.
     pub fn defaults(settings: &Settings) -> Self {
         let workers = &settings.cluster.workers;
         Self {
@@ -95,40 +101,44 @@
     }
 }
 
-/// All that the decisions need to know of settings, policy and cloud.
+/// All settings, policy and cloud data that scheduling decisions depend on.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Between two heartbeats of a worker.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// A worker's lease: without a response for so long, it kills its tasks.
+    /// A worker's lease: a worker kills its tasks if it receives no response for this
+    /// long.
     pub lease: Duration,
     /// Time within which a cancelled job must have no running task.
     pub cancellation_limit: Duration,
-    /// Writes that a transaction should hold; those of a single job may exceed it.
+    /// Number of writes that a transaction should not exceed. A single job may need
+    /// more.
     pub max_batch_operations: usize,
-    /// Number of shards.
+    /// Number of shards; 0 until it is known.
     pub shards: u32,
-    /// Most bytes of a stored value.
+    /// Maximum bytes of a stored value.
     pub value_bytes: usize,
-    /// Tasks that one record of done tasks covers.
+    /// Number of tasks that one chunk record of done tasks covers.
     pub chunk_tasks: u32,
-    /// The zones that machines are in.
+    /// Zones that machines are in.
     pub zones: Vec<String>,
-    /// Zones of the controllers, in the order of their names: shard N is preferably led
-    /// by the N-th, modulo their number. Empty if all are in one zone.
+    /// Zones of the controllers, in the order of the controllers' names. Shard N is
+    /// preferably led by controller N modulo their number. Empty if all controllers are
+    /// in one zone.
     pub controller_zones: Vec<String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
-    /// Service-level objectives of job classes; those without a class hold for all.
+    /// Service-level objectives of job classes. An objective without a class applies to
+    /// all.
     pub objectives: Vec<ServiceLevelObjective>,
     /// Machine types by label; empty until the cloud has listed them.
     pub flavors: BTreeMap<String, Flavor>,
-    /// The operators' levers.
+    /// Parameters that operators can tune.
     pub policy: Policy,
 }
 
-/// Zones of the controllers in the order of their names; none if all are the same, or
-/// one is not a zone of machines.
+/// Zones of the controllers in the order of their names. Empty if all zones are equal
+/// or one of them is not a zone of machines.
 fn controller_zones(settings: &Settings) -> Vec<String> {
     let mut members: Vec<(&str, &str)> = settings
         .seeds
@@ -137,22 +147,28 @@
         .collect();
     members.push((&settings.member, &settings.domain));
     members.sort();
-    let zones = &settings.cluster.zones;
-    let homes: Vec<String> = members
+    let machine_zones = &settings.cluster.zones;
+    let zones_in_order: Vec<String> = members
         .into_iter()
         .map(|(_, zone)| zone.to_owned())
         .collect();
-    let same = homes.iter().all(|zone| Some(zone) == homes.first());
-    if same || homes.iter().any(|zone| !zones.contains(zone)) {
+    let all_equal = zones_in_order
+        .iter()
+        .all(|zone| Some(zone) == zones_in_order.first());
+    if all_equal
+        || zones_in_order
+            .iter()
+            .any(|zone| !machine_zones.contains(zone))
+    {
         Vec::new()
     } else {
-        homes
+        zones_in_order
     }
 }
 
 impl Config {
-    /// The configuration that follows from checked settings and the policy. Shards and
-    /// machine types are set once they are known.
+    /// Creates the configuration from validated settings and the policy. The number of
+    /// shards and the machine types are set when they become known.
     pub fn new(settings: &Settings, policy: Policy) -> Self {
         let cluster = &settings.cluster;
         let slots = |cpus: f64, gpus: f64| Slots {
@@ -192,63 +208,68 @@
         }
     }
 
-    /// Machines whose records share a stored value. Half of it is for the records as
-    /// they are registered, half for the images that they come to list.
+    /// Number of machines whose records share a stored value. Half of the value is for
+    /// the records as they are registered, half for the images that are added to them
+    /// later.
     pub fn machines_per_batch(&self) -> usize {
         (self.value_bytes / 2 / MACHINE_RECORD_BYTES).max(1)
     }
 
-    /// Most bytes of such a value.
+    /// Maximum bytes of a stored value that holds machine records.
     pub fn machine_batch_bytes(&self) -> usize {
-        self.value_bytes - self.value_bytes / MESSAGE_OVERHEAD
+        self.value_bytes - self.value_bytes / MESSAGE_OVERHEAD_DIVISOR
     }
 
-    /// The zone of the controller that preferably leads a shard; none if the zones of
-    /// the controllers make no difference.
+    /// The zone of the controller that preferably leads a shard. `None` if the
+    /// controllers' zones make no difference.
     pub fn preferred_zone(&self, shard: ShardId) -> Option<&str> {
         let position = (shard.0 as usize).checked_rem(self.controller_zones.len())?;
         self.controller_zones.get(position).map(String::as_str)
     }
 
-    /// The shard that registers a new machine: one of its own zone, so that a partition
-    /// around the zone leaves machines with their leader; otherwise any, by its id.
+    /// The shard that registers a new machine. It is one of the machine's own zone, if
+    /// there is any, so that a partition around the zone does not separate machines
+    /// from their leader. The machine's id selects among them.
     pub fn registering_shard(&self, machine: &MachineId, zone: &str) -> ShardId {
-        let near: Vec<ShardId> = (0..self.shards)
+        let same_zone_shards: Vec<ShardId> = (0..self.shards)
             .map(ShardId)
-            .filter(|p| self.preferred_zone(*p) == Some(zone))
+            .filter(|shard| self.preferred_zone(*shard) == Some(zone))
             .collect();
-        let position = machine.shard(near.len() as u32).0 as usize;
-        near.get(position)
+        let position = machine.shard(same_zone_shards.len() as u32).0 as usize;
+        same_zone_shards
+            .get(position)
             .copied()
             .unwrap_or(machine.shard(self.shards))
     }
 
-    /// After this long without a heartbeat response, by this host's clock, a worker has
-    /// surely killed its tasks.
+    /// Time without a heartbeat response, on this host's clock, after which a worker is
+    /// certain to have killed its tasks.
     pub fn lease_expiry_bound(&self) -> Duration {
         surely_past(self.lease)
     }
 
-    /// How long done tasks of an unfinished job gather before their record is written.
+    /// Maximum time for which done tasks of an unfinished job are collected before they
+    /// are committed.
     pub fn max_commit_delay(&self) -> Duration {
-        self.lease * DONE_AGE_LEASES
+        self.lease * MAX_COMMIT_DELAY_LEASES
     }
 
-    /// How long after its last contact with the state service a leader may still answer
-    /// workers. A cancellation that another controller accepts right after that contact
-    /// is then still in time, since the worker's lease expires.
+    /// How long after its last contact with the state service a leader may respond to
+    /// workers. If another controller accepts a cancellation right after that contact,
+    /// the worker's lease still expires in time for it.
     pub fn response_window(&self) -> Duration {
         surely_within(self.cancellation_limit.saturating_sub(self.lease))
             .saturating_sub(RESPONSE_MARGIN)
     }
 
-    /// How long after a shard's failover a worker that sends heartbeats to the previous
-    /// leader alone may still run tasks, unless that leader has confirmed its end.
+    /// How long after a shard's failover a worker that sends heartbeats only to the
+    /// previous leader may still run tasks, unless that leader has confirmed that it
+    /// stepped down.
     pub fn previous_leader_window(&self) -> Duration {
         surely_past(self.response_window() + self.lease)
     }
 
-    /// Whether a machine type may run the job's tasks, in some zone.
+    /// Whether a machine type can run the job's tasks, in at least one zone.
     pub fn flavor_fits(&self, spec: &JobSpec, flavor: &Flavor) -> bool {
         spec.types
             .as_ref()
@@ -260,37 +281,37 @@
             && ResourceVector::of_flavor(flavor).fits(&ResourceVector::of_task(spec))
     }
 
-    /// Whether tasks of the job may have been placed on such a machine, as far as is
-    /// known of its type.
+    /// Whether tasks of the job may have been placed on such a machine. A type that is
+    /// not known counts as fitting.
     pub fn may_run_on(&self, spec: &JobSpec, flavor: &str, zone: &str, spot: bool) -> bool {
         let fits = |f| self.flavor_fits(spec, f);
         spec.allows_place(zone, spot) && self.flavors.get(flavor).is_none_or(fits)
     }
 
-    /// How many of the objectives of its class a job of this age can still meet, and the
-    /// longest time, in seconds, that any of them allows. It would start at once, and
-    /// finish after the estimated run.
+    /// Returns how many of its objectives a job of this age can still meet, and the
+    /// longest time in seconds that any of them allows. The job is assumed to start at
+    /// once and to finish after its estimated run time.
     pub fn attainable_objectives(&self, spec: &JobSpec, age: Duration) -> (u32, f64) {
         let age_s = age.as_secs_f64();
-        let mut open = 0;
+        let mut attainable = 0;
         let mut longest_s: f64 = 0.0;
         for objective in &self.objectives {
             if objective.class.as_ref().is_some_and(|c| *c != spec.class) {
                 continue;
             }
-            let run_s = if objective.kind == FINISHED {
+            let run_time_s = if objective.kind == FINISHED_OBJECTIVE_KIND {
                 spec.estimate_s.0
             } else {
                 0.0
             };
-            open += u32::from(age_s + run_s <= objective.within_s);
+            attainable += u32::from(age_s + run_time_s <= objective.within_s);
             longest_s = longest_s.max(objective.within_s);
         }
-        (open, longest_s)
+        (attainable, longest_s)
     }
 
-    /// Why a job can never run, for its user; none if it can. The tasks of a gang and of
-    /// a service run together.
+    /// Returns the reason why a job can never run, as shown to its user, or `None` if
+    /// it can run. All tasks of a gang or of a service run at the same time.
     pub fn unschedulable_reason(&self, spec: &JobSpec) -> Option<&'static str> {
         let Some(team) = self.teams.get(&spec.team) else {
             return Some("unknown team");
--- a/crates/pulleywood-scheduler/src/lib.rs
+++ b/crates/pulleywood-scheduler/src/lib.rs
@@ -1,15 +1,16 @@
-//! The decisions of pulleywood, as pure functions of what a controller knows.
+//! Scheduling decisions of pulleywood, as pure functions of what a controller knows.
 //!
 //! - [`shard`]: the state of one shard, its jobs and machines, and how heartbeats
 //!   change it.
-//! - [`placement`]: which waiting task goes to which machine of a shard, and what is
-//!   preempted for it.
-//! - [`fleet`]: which machines are rented, moved between shards and given back.
+//! - [`placement`]: which waiting task goes to which machine of a shard, and which
+//!   tasks are preempted for it.
+//! - [`fleet`]: which machines are rented, moved between shards and released.
 //! - [`quota`]: how teams' limits are divided among shards.
 //! - [`shard_selection`]: which shard runs a new job.
 //!
-//! Nothing here does I/O, reads a clock, starts a thread or draws a random number:
-//! times are passed in, so that every rule can be tested in a table.
+//! The crate performs no I/O, reads no clock, starts no threads and draws no random
+//! numbers. Times are passed in, so that every rule can be covered by table-driven
+//! tests.
 
 pub mod config;
 pub mod fleet;
--- a/crates/pulleywood-scheduler/src/machine_types.rs
+++ b/crates/pulleywood-scheduler/src/machine_types.rs
@@ -1,9 +1,9 @@
-//! Scarce machine types: those that some work alone can use, and that other work
-//! leaves to it.
+//! Scarce machine types: those that flexible work leaves to work which can use no
+//! others.
 //!
-//! Where small tasks fit every type and large ones the largest only, small tasks that
-//! come first, or rank higher, would fill the few large machines, and no small ones
-//! would be rented.
+//! If small tasks fit every type and large ones only the largest, small tasks that come
+//! first or rank higher would fill the few large machines, and no small machines would
+//! be rented.
 
 use crate::config::Config;
 use crate::resources::ResourceVector;
@@ -12,17 +12,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Names of machine types.
+/// Labels of machine types.
 pub type MachineTypes = BTreeSet<String>;
 
-/// Types on which a task of a job fits and may run.
+/// Returns the types on which a task of a job fits and may run.
 pub fn of_job(config: &Config, spec: &JobSpec) -> MachineTypes {
     let flavors = config.flavors.values();
     let usable = flavors.filter(|flavor| config.flavor_fits(spec, flavor));
     usable.map(|flavor| flavor.label.clone()).collect()
 }
 
-/// Types on which a task of a demand fits and may run.
+/// Returns the types on which a task of a demand fits and may run.
 pub fn of_demand(config: &Config, demand: &Demand) -> MachineTypes {
     let need = ResourceVector::of_demand(demand);
     let allows = |label: &String| demand.types.as_ref().is_none_or(|t| t.contains(label));
@@ -31,49 +31,50 @@
     usable.map(|flavor| flavor.label.clone()).collect()
 }
 
-/// The sets of types that recently waiting work could use.
+/// The sets of machine types that recently waiting work could use.
 #[derive(Debug, Clone, Default)]
 pub struct MachineTypeDemand {
-    /// When work with each set was last seen waiting.
+    /// When work that could use each set was last seen waiting.
     last_waiting: BTreeMap<MachineTypes, MonotonicTime>,
 }
 
 impl MachineTypeDemand {
-    /// Work that was seen this long ago is likely to come again.
+    /// Work that was seen waiting this recently is likely to come again.
     const RETENTION: Duration = Duration::from_secs(180);
 
-    /// Notes that work waited which could use these types.
+    /// Records that work which could use these types is waiting.
     pub fn record_waiting(&mut self, types: MachineTypes, now: MonotonicTime) {
         let at = self.last_waiting.entry(types).or_default();
         *at = (*at).max(now);
     }
 
-    /// Forgets work that was last seen long ago.
+    /// Removes work that has not been seen waiting within the retention time.
     pub fn remove_expired(&mut self, now: MonotonicTime) {
         self.last_waiting
             .retain(|_, at| now.since(*at) < Self::RETENTION);
     }
 
-    /// The types that a job leaves to work with fewer types to choose from.
+    /// Returns the types that a job should leave to work with fewer types to choose
+    /// from.
     pub fn types_to_avoid_for_job(&self, config: &Config, spec: &JobSpec) -> MachineTypes {
-        // A single type is left to nobody.
+        // With a single type there is no alternative.
         if config.flavors.len() <= 1 {
             return MachineTypes::new();
         }
         self.types_to_avoid(&of_job(config, spec))
     }
 
-    /// The types that work which may use `types` leaves to work with fewer types to
-    /// choose from; none if that would leave it no type at all.
+    /// Returns the types that work which can use `types` should leave to work with
+    /// fewer types to choose from. Empty if that would leave it no type at all.
     pub fn types_to_avoid(&self, types: &MachineTypes) -> MachineTypes {
         let less_flexible = self
             .last_waiting
             .keys()
             .filter(|other| other.len() < types.len())
             .filter(|other| other.is_subset(types));
-        let left: MachineTypes = less_flexible.flatten().cloned().collect();
-        if left.len() < types.len() {
-            left
+        let avoided: MachineTypes = less_flexible.flatten().cloned().collect();
+        if avoided.len() < types.len() {
+            avoided
         } else {
             MachineTypes::new()
         }
--- a/crates/pulleywood-scheduler/src/quota.rs
+++ b/crates/pulleywood-scheduler/src/quota.rs
@@ -1,8 +1,9 @@
-//! Quotas: each team's limit is divided into quotas of the shards, which decide alone
-//! within them.
+//! Division of each team's limit into quotas of the shards, within which shards decide
+//! independently.
 //!
 //! The sum of a team's quotas never exceeds its limit: a shard's quota grows only by
-//! what is not given out after another shard's shrinking was committed.
+//! slots that are in no shard's quota, which may have become free by another shard's
+//! committed shrink.
 
 use crate::config::Config;
 use pulleywood_protocol::ShardId;
@@ -10,10 +11,10 @@
 use pulleywood_protocol::record::{QuotaRecord, Slots};
 use std::collections::BTreeMap;
 
-/// Smaller amounts count as nothing, since quotas are sums of floats.
+/// Smaller amounts count as zero, because quotas are sums of floating-point numbers.
 const TOLERANCE: f64 = 1e-6;
 
-/// The first quotas: every limit divided evenly.
+/// Returns the initial quotas of each shard: every limit divided evenly.
 pub fn initial_quotas(config: &Config, shards: u32) -> QuotaRecord {
     let share = |limit: f64| limit / f64::from(shards.max(1));
     let teams = config
@@ -31,18 +32,18 @@
     QuotaRecord { epoch: 1, teams }
 }
 
-/// What one shard uses and wants of one team.
+/// Usage and demand of one team in one shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct QuotaNeed {
-    /// In use, unknown slots counted.
+    /// Slots in use. Slots of machines whose tasks are unknown count as used.
     pub used: Slots,
-    /// Wanted by waiting tasks on top of that.
+    /// Slots that waiting tasks need in addition.
     pub wanted: Slots,
-    /// None of these tasks fits into what is left of the shard's quota.
+    /// Whether none of the waiting tasks fits into the rest of the shard's quota.
     pub stuck: bool,
 }
 
-/// One resource that a team's limit bounds.
+/// A resource that a team's limit may bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Resource {
     Cpus,
@@ -65,22 +66,22 @@
     }
 }
 
-/// What the coordinator does next about quotas.
+/// The coordinator's next change of quotas.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuotaStep {
-    /// Write this shard's larger quota, on condition that no shard's record has
+    /// Write this larger quota of a shard, on condition that no shard's record has
     /// changed.
     Grow(ShardId, QuotaRecord),
-    /// Ask this shard's leader to shrink its quota to these slots.
+    /// Ask the shard's leader to shrink its quotas to these slots, by team.
     Shrink(ShardId, BTreeMap<String, Slots>),
 }
 
-/// The next step towards quotas that match the shards' needs; none if they do.
-/// `records` must hold the record of every shard: slots of one left out would be given
-/// out twice.
+/// Returns the next step towards quotas that match the shards' needs, or `None` if they
+/// already do. `records` must hold the record of every shard: the slots of a missing
+/// one would be given out twice.
 ///
-/// A resource of which something is not given out grows at once. Otherwise one shard
-/// is asked to shrink, for all teams and resources of which it has the most to spare.
+/// If some of a resource is in no quota, a quota grows at once. Otherwise one shard is
+/// asked to shrink, for all teams and resources of which it has the most to spare.
 pub fn balance(
     config: &Config,
     records: &BTreeMap<ShardId, QuotaRecord>,
@@ -122,15 +123,15 @@
     shrink.map(|(shard, teams)| QuotaStep::Shrink(shard, teams))
 }
 
-/// The shard whose quota grows next, of one team and resource.
+/// The shard whose quota grows next, for one team and resource.
 struct Receiver<'a> {
     shard: ShardId,
-    /// Shards in which no waiting task fits into what is left of the quota. If there
-    /// are any, the receiver is one of them.
+    /// Shards in which no waiting task fits into the rest of the quota. If there are
+    /// any, the receiver is one of them.
     stuck: Vec<&'a ShardId>,
 }
 
-/// The quotas of all shards, of one team and resource.
+/// Quotas of all shards, for one team and resource.
 struct ResourceQuotas<'a> {
     team: &'a str,
     resource: Resource,
@@ -140,7 +141,7 @@
 }
 
 impl<'a> ResourceQuotas<'a> {
-    /// The quota of a shard.
+    /// The shard's quota; 0 if it has none.
     fn quota(&self, shard: &ShardId) -> f64 {
         let record = self.records.get(shard);
         let slots = record.and_then(|r| r.teams.get(self.team));
@@ -152,7 +153,7 @@
         needs.and_then(|n| n.get(self.team)).copied()
     }
 
-    /// What a shard uses and wants beyond its quota.
+    /// How much a shard's usage and demand exceed its quota.
     fn shortfall(&self, shard: &ShardId) -> f64 {
         self.need(shard).map_or(0.0, |need| {
             let (used, wanted) = self.used_and_wanted(need);
@@ -160,13 +161,13 @@
         })
     }
 
-    /// What a shard's quota leaves beside what is in use.
+    /// The part of a shard's quota that is not in use.
     fn unused(&self, shard: &ShardId) -> f64 {
         self.need(shard)
             .map_or(0.0, |need| self.quota(shard) - self.resource.of(need.used))
     }
 
-    /// What a shard's quota leaves beside what is in use and wanted.
+    /// The part of a shard's quota that is neither in use nor wanted.
     fn unneeded(&self, shard: &ShardId) -> f64 {
         self.need(shard).map_or(0.0, |need| {
             let (used, wanted) = self.used_and_wanted(need);
@@ -178,46 +179,49 @@
         (self.resource.of(need.used), self.resource.of(need.wanted))
     }
 
-    /// The shard to grow next. Where the rest of each shard's quota is less than one
-    /// task, it is of use to none: it is gathered in the shard that has the most of
-    /// it. Otherwise it is the shard that lacks most.
+    /// Returns the shard to grow next: the one with the largest shortfall. But where
+    /// shards are stuck because what is left of each quota is less than one task, those
+    /// remainders are of use to none of them, and are collected in the stuck shard that
+    /// has the most left.
     fn receiver(&self) -> Option<Receiver<'a>> {
         let is_stuck = |shard: &&ShardId| {
             self.need(shard).is_some_and(|n| n.stuck) && self.shortfall(shard) > TOLERANCE
         };
         let stuck: Vec<&ShardId> = self.records.keys().filter(is_stuck).collect();
-        let gathering = stuck.iter().copied().max_by(|a, b| {
-            let most_unused = self.unused(a).total_cmp(&self.unused(b));
-            most_unused.then(b.cmp(a))
+        let most_unused_stuck = stuck.iter().copied().max_by(|a, b| {
+            let by_unused = self.unused(a).total_cmp(&self.unused(b));
+            by_unused.then(b.cmp(a))
         });
-        let lacking = self
+        let with_shortfall = self
             .records
             .keys()
-            .filter(|p| self.shortfall(p) > TOLERANCE);
-        let poorest = lacking.max_by(|a, b| self.shortfall(a).total_cmp(&self.shortfall(b)));
-        let shard = *gathering.or(poorest)?;
+            .filter(|shard| self.shortfall(shard) > TOLERANCE);
+        let largest_shortfall =
+            with_shortfall.max_by(|a, b| self.shortfall(a).total_cmp(&self.shortfall(b)));
+        let shard = *most_unused_stuck.or(largest_shortfall)?;
         Some(Receiver { shard, stuck })
     }
 
-    /// A shard's record grown by what is not given out; none if all of it is.
+    /// Returns a shard's record after it has grown by slots that are in no quota.
+    /// `None` if there are none.
     fn grown_record(&self, shard: ShardId) -> Option<QuotaRecord> {
-        let given_out: f64 = self.records.keys().map(|p| self.quota(p)).sum();
-        let spare = self.limit - given_out;
-        (spare > TOLERANCE).then(|| {
+        let allocated: f64 = self.records.keys().map(|shard| self.quota(shard)).sum();
+        let unallocated = self.limit - allocated;
+        (unallocated > TOLERANCE).then(|| {
             let mut record = self.records[&shard].clone();
             let slots = record.teams.entry(self.team.to_owned()).or_default();
-            let amount = self.quota(&shard) + spare.min(self.shortfall(&shard));
+            let amount = self.quota(&shard) + unallocated.min(self.shortfall(&shard));
             self.resource.set(slots, amount);
             record.epoch += 1;
             record
         })
     }
 
-    /// The shard with the most to spare, and what its quota shrinks to. It keeps what
-    /// it uses and wants; if it is stuck, it keeps what it uses, as nothing that waits
-    /// there can use the rest.
+    /// Returns the shard with the most to spare and the quota to which it shrinks. A
+    /// shard keeps what it uses and wants; a stuck one keeps only what it uses, because
+    /// its waiting tasks cannot use the rest.
     fn donor_and_quota(&self, receiver: &Receiver<'_>) -> Option<(ShardId, f64)> {
-        let spares = |shard: &ShardId| {
+        let spare = |shard: &ShardId| {
             if receiver.stuck.contains(&shard) {
                 self.unused(shard).max(0.0)
             } else {
@@ -227,31 +231,31 @@
         let donor = self
             .records
             .keys()
-            .filter(|p| **p != receiver.shard && spares(p) > TOLERANCE)
-            .max_by(|a, b| spares(a).total_cmp(&spares(b)))?;
-        let amount = self.quota(donor) - spares(donor).min(self.shortfall(&receiver.shard));
+            .filter(|shard| **shard != receiver.shard && spare(shard) > TOLERANCE)
+            .max_by(|a, b| spare(a).total_cmp(&spare(b)))?;
+        let amount = self.quota(donor) - spare(donor).min(self.shortfall(&receiver.shard));
         Some((*donor, amount))
     }
 }
 
-/// A shard's record after it shrank its quota to `to`, at most, and to what is in use
-/// at least; none if nothing changes. No quota grows by it.
+/// Returns a shard's record after shrinking its quotas to `target`, but not below what is
+/// in use, or `None` if nothing changes. No quota grows.
 pub fn shrunk_record(
     record: &QuotaRecord,
-    to: &BTreeMap<String, Slots>,
+    target: &BTreeMap<String, Slots>,
     used: &BTreeMap<String, Slots>,
 ) -> Option<QuotaRecord> {
-    let mut next = record.clone();
-    for (name, want) in to {
-        let Some(slots) = next.teams.get_mut(name) else {
+    let mut shrunk = record.clone();
+    for (name, requested) in target {
+        let Some(slots) = shrunk.teams.get_mut(name) else {
             continue;
         };
         let used = used.get(name).copied().unwrap_or_default();
-        slots.cpus.0 = slots.cpus.0.min(want.cpus.0.max(used.cpus.0));
-        slots.gpus.0 = slots.gpus.0.min(want.gpus.0.max(used.gpus.0));
+        slots.cpus.0 = slots.cpus.0.min(requested.cpus.0.max(used.cpus.0));
+        slots.gpus.0 = slots.gpus.0.min(requested.gpus.0.max(used.gpus.0));
     }
-    (next.teams != record.teams).then(|| {
-        next.epoch += 1;
-        next
+    (shrunk.teams != record.teams).then(|| {
+        shrunk.epoch += 1;
+        shrunk
     })
 }
--- a/crates/pulleywood-scheduler/src/resources.rs
+++ b/crates/pulleywood-scheduler/src/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts of resources: what tasks need and machines have.
+//! Amounts of resources that tasks need and machines have.
 
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::cbor::Amount;
@@ -7,26 +7,26 @@
 use pulleywood_protocol::record::Slots;
 use std::ops::{AddAssign, SubAssign};
 
-/// Amounts are compared with this tolerance, since they are summed as floats.
+/// Tolerance for comparisons, because amounts are sums of floating-point numbers.
 const TOLERANCE: f64 = 1e-6;
 
-/// Most tasks on one machine, however little they need: each heartbeat reports all of
-/// them, and the size of a message is limited.
+/// Maximum number of tasks on one machine, however little they need: each heartbeat
+/// lists all of them, and the size of a message is limited.
 pub const MAX_TASKS_PER_MACHINE: u32 = 400;
 
-/// Processors, GPUs and memory.
+/// Amounts of processors, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResourceVector {
-    /// Processors.
+    /// Number of processors.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
-    /// Memory, in gigabytes.
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl ResourceVector {
-    /// What one task of a job needs.
+    /// Resources that one task of a job needs.
     pub fn of_task(spec: &JobSpec) -> ResourceVector {
         ResourceVector {
             cpus: spec.cpus.0,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The capacity of a machine of this type.
+    /// Capacity of a machine of this type.
     pub fn of_flavor(flavor: &Flavor) -> ResourceVector {
         ResourceVector {
             cpus: flavor.cpus.0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// What one task of a demand needs.
+    /// Resources that one task of a demand needs.
     pub fn of_demand(demand: &Demand) -> ResourceVector {
         ResourceVector {
             cpus: demand.cpus,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What is free on a machine, as its digest says.
+    /// Free resources of a machine, according to its digest.
     pub fn free_on(machine: &MachineDigest) -> ResourceVector {
         ResourceVector {
             cpus: machine.cpus,
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Whether `need` fits into this, within a small tolerance.
+    /// Whether `need` fits into these resources, within a small tolerance.
     pub fn fits(&self, need: &ResourceVector) -> bool {
         need.cpus <= self.cpus + TOLERANCE
             && need.gpus <= self.gpus + TOLERANCE
             && need.memory_gb <= self.memory_gb + TOLERANCE
     }
 
-    /// The smaller of each of the two's amounts.
+    /// The smaller amount of each resource.
     pub fn component_min(&self, other: &ResourceVector) -> ResourceVector {
         ResourceVector {
             cpus: self.cpus.min(other.cpus),
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The dominant share of `capacity` that this takes: the largest of the shares of
-    /// each resource. Resources that `capacity` lacks do not count.
+    /// The dominant share: the largest fraction of `capacity`, over all resources, that
+    /// these amounts take. Resources that `capacity` lacks are ignored.
     pub fn dominant_share(&self, capacity: &ResourceVector) -> f64 {
         let share = |amount: f64, all: f64| if all > 0.0 { amount / all } else { 0.0 };
         share(self.cpus, capacity.cpus)
@@ -87,7 +87,7 @@
             .max(share(self.memory_gb, capacity.memory_gb))
     }
 
-    /// The dominant share of `capacity` that is in use when this is free.
+    /// The dominant share of `capacity` that is in use if these amounts are free.
     pub fn dominant_share_in_use(&self, capacity: &ResourceVector) -> f64 {
         let used = |free: f64, all: f64| if all > 0.0 { 1.0 - free / all } else { 0.0 };
         used(self.cpus, capacity.cpus)
@@ -95,7 +95,8 @@
             .max(used(self.memory_gb, capacity.memory_gb))
     }
 
-    /// How many times `need` fits into this, [`MOST_TASKS`] at most.
+    /// How many times `need` fits into these resources, up to
+    /// [`MAX_TASKS_PER_MACHINE`].
     pub fn max_copies(&self, need: &ResourceVector) -> u32 {
         let times = |amount: f64, need: f64| {
             if need > TOLERANCE {
@@ -110,7 +111,7 @@
             .min(f64::from(MAX_TASKS_PER_MACHINE)) as u32
     }
 
-    /// The amounts that count against a team: all but memory.
+    /// The amounts that count against a team's limit: all but memory.
     pub fn slots(&self) -> Slots {
         Slots {
             cpus: Amount(self.cpus),
@@ -141,9 +142,9 @@
     sum.gpus.0 += slots.gpus.0;
 }
 
-/// Whether `used` and `need` together stay within `limit`, within a small tolerance.
-/// A resource is bounded only if its amount in `published`, the team's setting, is not
-/// 0: the limit itself may be 0 in a shard that has no quota.
+/// Whether `used` and `need` together are within `limit`, with a small tolerance. A
+/// resource is bounded only if its amount in `published`, the team's configured limit,
+/// is not 0; `limit` itself may be 0 in a shard without a quota.
 pub fn within_limit(used: Slots, need: Slots, limit: Slots, published: Slots) -> bool {
     let fits = |used: f64, need: f64, limit: f64, published: f64| {
         published <= 0.0 || used + need <= limit + TOLERANCE
--- a/crates/pulleywood-scheduler/src/shard/batch_builder.rs
+++ b/crates/pulleywood-scheduler/src/shard/batch_builder.rs
@@ -1,7 +1,7 @@
-//! Builds the transaction of a batch of done tasks, up to the limits of a transaction.
+//! Builds the transaction of a batch of done tasks, within the limits of a transaction.
 //!
 //! Invariant: the transaction is conditioned on the revision of the shard's leadership
-//! and of every key it changes, so that a leader that was replaced commits nothing.
+//! record and of every key that it changes, so that a replaced leader commits nothing.
 
 use crate::config::Config;
 use crate::shard::Job;
@@ -14,38 +14,38 @@
 use pulleywood_protocol::{JobId, Revision, ShardId};
 use std::collections::BTreeSet;
 
-/// Most bytes of values in one batch, after which no further job is added. A
-/// transaction holds 64 KiB in all.
+/// Bytes of values in one batch after which no further job is added. A transaction may
+/// hold 64 KiB in total.
 const MAX_VALUE_BYTES: usize = 40 * 1024;
 
-/// Assumed size of a job batch that is rewritten because a job leaves it.
+/// Estimated bytes of a job batch that is rewritten because a job leaves it.
 const JOB_BATCH_BYTES: usize = 8192;
 
-/// Assumed size of a job's record besides its text of done tasks.
+/// Estimated bytes of a job's record, not counting its encoded done tasks.
 const JOB_RECORD_BYTES: usize = 700;
 
-/// One transaction of done tasks, and what it commits.
+/// One transaction of done tasks, and the jobs that it affects.
 #[derive(Debug)]
 pub struct Batch {
-    /// The transaction.
+    /// The transaction to apply.
     pub transaction: Transaction,
-    /// The jobs whose records it changes.
+    /// Jobs whose records the transaction changes.
     pub jobs: Vec<BatchJob>,
-    /// Job batches that jobs leave by it, by number, as they are afterwards. None: the
-    /// batch is deleted.
+    /// Job batches that jobs leave by this transaction, by number, with their remaining
+    /// contents. `None` if the job batch is deleted.
     pub job_batches: Vec<(u64, Option<JobBatchRecord>)>,
 }
 
-/// One job of a batch.
+/// The part of a batch that concerns one job.
 #[derive(Debug)]
 pub struct BatchJob {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// Done tasks that it commits.
+    /// Indices of the done tasks that the batch commits.
     pub tasks: Vec<u32>,
-    /// Chunks of its done tasks that are written.
+    /// Numbers of the chunks of done tasks that the batch writes.
     pub chunks: BTreeSet<u32>,
-    /// Its final record, if all its tasks are done.
+    /// The job's final record, if all its tasks are done.
     pub final_record: Option<FinalRecord>,
 }
 
@@ -53,25 +53,26 @@
 #[derive(Debug, Clone, Copy)]
 enum StoredIn {
     OwnRecord,
-    /// In the job batch of this number: the job leaves it with its first commit.
+    /// In the job batch of this number, which the job leaves with its first commit.
     JobBatch(u64),
 }
 
-/// What one job adds to a batch.
+/// Writes that one job adds to a batch.
 pub(super) struct JobWrites<'a> {
     id: &'a JobId,
     job: &'a Job,
     stored_in: StoredIn,
     /// Done tasks that are not committed.
     tasks: Vec<u32>,
-    /// Chunks of its done tasks to write, of which its record holds the first.
+    /// Chunks of done tasks to write. Chunk 0 is part of the job's record.
     chunks: BTreeSet<u32>,
-    /// Its final record, if all its tasks are done: it replaces the other records.
+    /// The job's final record, if all its tasks are done. It replaces the other
+    /// records.
     final_record: Option<FinalRecord>,
 }
 
 impl<'a> JobWrites<'a> {
-    /// None: the job has left its job batch, and the watch is about to say how.
+    /// Returns `None` if the job has left its job batch; the watch will report how.
     pub(super) fn of(
         id: &'a JobId,
         job: &'a Job,
@@ -83,13 +84,13 @@
         } else {
             StoredIn::OwnRecord
         };
-        let over = job
+        let final_record = job
             .is_complete()
             .then(|| FinalRecord::new(&job.spec, JobStatus::Done, job.done.len()));
         let uncommitted = job.done.iter().filter(|&i| !job.committed.contains(i));
         let tasks: Vec<u32> = uncommitted.collect();
         let mut chunks: BTreeSet<u32> = tasks.iter().map(|i| i / config.chunk_tasks).collect();
-        let first_own_record = matches!(stored_in, StoredIn::JobBatch(_)) && over.is_none();
+        let first_own_record = matches!(stored_in, StoredIn::JobBatch(_)) && final_record.is_none();
         if job.needs_rewrite || first_own_record {
             chunks.insert(0);
         }
@@ -99,11 +100,11 @@
             stored_in,
             tasks,
             chunks,
-            final_record: over,
+            final_record,
         })
     }
 
-    /// Keys it changes, besides its job batch.
+    /// Number of keys to change, not counting the job batch.
     fn operations(&self) -> usize {
         match (&self.final_record, self.stored_in) {
             (Some(_), StoredIn::JobBatch(_)) => 1,
@@ -113,16 +114,16 @@
     }
 }
 
-/// Collects writes of jobs up to the limits of a transaction.
+/// Collects the writes of jobs, within the limits of a transaction.
 pub(super) struct BatchBuilder<'a> {
     config: &'a Config,
     transaction: Transaction,
     jobs: Vec<BatchJob>,
     /// Jobs that leave their job batches.
     leaving: BTreeSet<JobId>,
-    /// These job batches, which are rewritten.
+    /// Numbers of the job batches that are rewritten because jobs leave them.
     rewritten_batches: BTreeSet<u64>,
-    /// Assumed bytes of all values.
+    /// Estimated bytes of all values.
     value_bytes: usize,
 }
 
@@ -142,10 +143,10 @@
         }
     }
 
-    /// Whether a job still fits. The first one always does.
+    /// Whether another job fits. The first one always does.
     pub(super) fn has_capacity_for(&self, writes: &JobWrites) -> bool {
         let rewrites_batch = match writes.stored_in {
-            StoredIn::JobBatch(n) => !self.rewritten_batches.contains(&n),
+            StoredIn::JobBatch(number) => !self.rewritten_batches.contains(&number),
             StoredIn::OwnRecord => false,
         };
         let operations = self.transaction.writes.len()
@@ -159,11 +160,11 @@
     pub(super) fn add(&mut self, writes: JobWrites) {
         let record_revision = match writes.stored_in {
             StoredIn::OwnRecord => writes.job.revision,
-            StoredIn::JobBatch(n) => {
-                self.rewritten_batches.insert(n);
+            StoredIn::JobBatch(number) => {
+                self.rewritten_batches.insert(number);
                 self.leaving.insert(writes.id.clone());
                 self.value_bytes += JOB_BATCH_BYTES;
-                // It has no record of its own yet.
+                // The job has no record of its own yet.
                 Revision(0)
             }
         };
@@ -171,7 +172,7 @@
         let mut transaction = std::mem::take(&mut self.transaction);
         transaction = transaction.when(key.clone(), record_revision);
         self.transaction = match &writes.final_record {
-            Some(over) => self.finish_job(transaction, key, &writes, over),
+            Some(final_record) => self.finish_job(transaction, key, &writes, final_record),
             None => self.record_chunks(transaction, key, &writes),
         };
         self.jobs.push(BatchJob {
@@ -188,7 +189,7 @@
         mut transaction: Transaction,
         key: String,
         writes: &JobWrites,
-        over: &FinalRecord,
+        final_record: &FinalRecord,
     ) -> Transaction {
         let id = writes.id;
         if matches!(writes.stored_in, StoredIn::OwnRecord) {
@@ -196,7 +197,7 @@
         }
         transaction = transaction
             .when(final_key(id), Revision(0))
-            .write(final_key(id), over);
+            .write(final_key(id), final_record);
         for (&chunk, &revision) in &writes.job.chunk_revisions {
             let key = chunk_key(id.shard(self.config.shards), id, chunk);
             transaction = transaction.when(key.clone(), revision).delete(key);
@@ -228,8 +229,8 @@
         transaction
     }
 
-    /// The batch, with the job batches as the leaving jobs leave them. None if no job
-    /// was added.
+    /// Returns the batch, including the rewritten job batches. `None` if no job was
+    /// added.
     pub(super) fn build(self, job_batches: &JobBatches) -> Option<Batch> {
         if self.jobs.is_empty() {
             return None;
--- a/crates/pulleywood-scheduler/src/shard/digest.rs
+++ b/crates/pulleywood-scheduler/src/shard/digest.rs
@@ -1,7 +1,8 @@
-//! The digest of a shard that its leader sends to the other controllers.
+//! Digest of a shard, which its leader sends to the other controllers.
 //!
-//! Invariant: its size grows with machines, teams and shapes of tasks, not with jobs
-//! or tasks, except for the list of jobs that run.
+//! Invariant: the size of a digest grows with the number of machines, teams and task
+//! shapes, but not with the number of jobs or tasks, except for the list of running
+//! jobs.
 
 use crate::config::Config;
 use crate::machine_types::MachineTypes;
@@ -14,26 +15,26 @@
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime};
 use std::collections::BTreeMap;
 
-/// Most waiting tasks of one job that count towards what its team wants.
+/// Maximum number of waiting tasks per job that count towards what its team wants.
 const MAX_WANTED_TASKS: u32 = 1000;
 
-/// A duration in a digest that is not known.
+/// Value of a duration that is unknown.
 const UNKNOWN_S: f64 = -1.0;
 
-/// What waiting jobs need, by team and by shape.
+/// Requirements of waiting jobs, by team and by task shape.
 #[derive(Default)]
 struct WaitingWork<'a> {
-    /// Slots that waiting tasks of limited teams need.
+    /// Slots that waiting tasks need, for teams that have a limit.
     wanted: BTreeMap<String, Slots>,
-    /// Limited teams with waiting jobs, and whether their quotas here admit no task
-    /// of any of these.
+    /// Teams that have a limit and waiting jobs, and whether their quotas in this shard
+    /// admit no task of any of those jobs.
     quota_blocks_all: BTreeMap<&'a str, bool>,
-    /// Waiting tasks of jobs that are not held back.
+    /// Waiting tasks of jobs that are not held back, by shape.
     demand: Vec<Demand>,
 }
 
 impl ShardState {
-    /// The shard's digest.
+    /// Builds the shard's digest.
     pub fn digest(&self, now: MonotonicTime, config: &Config) -> ShardDigest {
         let used = self.usage_by_team(config);
         let waiting = self.waiting_work(&used, now, config);
@@ -63,8 +64,8 @@
             let Some(team) = config.teams.get(&job.spec.team) else {
                 continue;
             };
-            // Nothing is rented, moved or transferred for a broken job, but for the
-            // one task that it is tried with where there is no machine at all.
+            // For a broken job nothing is rented, moved or transferred, except for the
+            // single task that it is retried with if there is no machine at all.
             let broken = job.health.is_broken();
             let count = if broken { 1 } else { job.waiting.len() };
             if team.has_limit() {
@@ -73,13 +74,13 @@
             if job.health.is_backing_off(now) || (broken && !self.machines.is_empty()) {
                 continue;
             }
-            let most = if broken { 1 } else { u32::MAX };
-            self.add_job_demand(&mut work.demand, job, most);
+            let max_tasks = if broken { 1 } else { u32::MAX };
+            self.add_job_demand(&mut work.demand, job, max_tasks);
         }
         work
     }
 
-    /// Adds what `count` waiting tasks of a job of a limited team need.
+    /// Adds what `count` waiting tasks of a job need, for a team that has a limit.
     fn add_wanted<'a>(
         &'a self,
         work: &mut WaitingWork<'a>,
@@ -110,14 +111,14 @@
         displaced
     }
 
-    /// Tasks of array jobs on machines of types that the jobs should leave to work
-    /// with fewer types to choose from, by job.
+    /// Number of tasks by array job that run on machine types which the job should
+    /// leave to work with fewer types to choose from.
     fn displaced_task_counts(&self, config: &Config) -> BTreeMap<&JobId, u32> {
         let mut counts = BTreeMap::new();
         if config.flavors.len() <= 1 {
             return counts;
         }
-        let mut left_by_job: BTreeMap<&JobId, MachineTypes> = BTreeMap::new();
+        let mut avoided_by_job: BTreeMap<&JobId, MachineTypes> = BTreeMap::new();
         for machine in self.machines.values() {
             for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
                 let Some(spec) = &slot.spec else { continue };
@@ -125,11 +126,11 @@
                     continue;
                 }
                 let id = &slot.task.job;
-                let left_to_others = left_by_job.entry(id).or_insert_with(|| {
+                let avoided = avoided_by_job.entry(id).or_insert_with(|| {
                     self.machine_type_demand
                         .types_to_avoid_for_job(config, spec)
                 });
-                if left_to_others.contains(&machine.record.flavor) {
+                if avoided.contains(&machine.record.flavor) {
                     *counts.entry(id).or_insert(0) += 1;
                 }
             }
@@ -137,8 +138,9 @@
         counts
     }
 
-    /// What the largest service job of each class needs, to be kept free for the next
-    /// one: in each zone as much as it may have there if it is spread.
+    /// Resources to keep free for the next service job: those of the largest service
+    /// job of each class. For a job that is spread over zones, this is as much in each
+    /// zone as it may use there.
     fn service_reservations(&self) -> Vec<Demand> {
         let mut reserve = Vec::new();
         for job in self.largest_services() {
@@ -156,8 +158,8 @@
         reserve
     }
 
-    /// The service job with the most tasks of each class, by class. Broken jobs do not
-    /// count.
+    /// The service job with the most tasks of each class, in order of class. Broken
+    /// jobs are ignored.
     fn largest_services(&self) -> impl Iterator<Item = &Job> {
         let mut largest: BTreeMap<&str, &Job> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -172,19 +174,19 @@
         largest.into_values()
     }
 
-    /// Adds up to `most` waiting tasks of a job.
-    fn add_job_demand(&self, demand: &mut Vec<Demand>, job: &Job, mut most: u32) {
+    /// Adds up to `max_tasks` waiting tasks of a job.
+    fn add_job_demand(&self, demand: &mut Vec<Demand>, job: &Job, mut max_tasks: u32) {
         for (zones, count) in self.zones_of_waiting_tasks(job) {
-            let count = count.min(most);
-            most -= count;
+            let count = count.min(max_tasks);
+            max_tasks -= count;
             if count > 0 {
                 add_demand(demand, demand_of(job, zones, count));
             }
         }
     }
 
-    /// Zones that a job's waiting tasks may still go to, with counts. No zones: they
-    /// may go to any.
+    /// Returns the zones in which a job's waiting tasks may run, with task counts. An
+    /// empty list of zones means any zone.
     fn zones_of_waiting_tasks(&self, job: &Job) -> Vec<(Vec<String>, u32)> {
         let spec = &job.spec;
         let waiting = job.waiting.len();
@@ -202,9 +204,9 @@
         counts.map(|(zone, n)| (vec![zone], n)).collect()
     }
 
-    /// Counts of a spread job's waiting tasks by zone: bound ones in their zones, the
-    /// others where the most are allowed besides those `placed`. Tasks beyond all
-    /// limits are left out.
+    /// Number of a spread job's waiting tasks by zone. Bound tasks count in their
+    /// zones, the others where most are still allowed besides those already `placed`.
+    /// Tasks beyond all zone limits are left out.
     fn spread_waiting_tasks(
         &self,
         job: &Job,
@@ -246,7 +248,7 @@
     now: MonotonicTime,
     config: &Config,
 ) -> MachineDigest {
-    let whole = config
+    let capacity = config
         .flavors
         .get(&machine.record.flavor)
         .map(ResourceVector::of_flavor)
@@ -255,7 +257,7 @@
         && !machine.is_inbound_partitioned(now, config)
         && machine.remains_in_service(now);
     let free = if usable && !machine.has_unknown_attempts() {
-        machine.free_resources(whole)
+        machine.free_resources(capacity)
     } else {
         ResourceVector::default()
     };
@@ -271,12 +273,12 @@
         lost_s: seconds_since(machine.last_round_trip_at),
         unreported: machine.unreported,
         quarantined: machine.quarantined || machine.reclaim_at.is_some(),
-        pinned: machine.pinned_resources().dominant_share(&whole),
+        pinned: machine.pinned_resources().dominant_share(&capacity),
         held: machine.resources_by_rank(),
     }
 }
 
-/// Adds tasks to those of the same shape, or as a new shape.
+/// Adds tasks to the entry of the same shape, or as a new entry.
 fn add_demand(demand: &mut Vec<Demand>, item: Demand) {
     let Some(same) = demand.iter_mut().find(|d| same_shape(d, &item)) else {
         demand.push(item);
@@ -287,7 +289,7 @@
     same.count += item.count;
 }
 
-/// Whether two demands differ in nothing but count and work.
+/// Whether two demands differ only in task count and work.
 fn same_shape(a: &Demand, b: &Demand) -> bool {
     (a.cpus, a.gpus, a.memory_gb) == (b.cpus, b.gpus, b.memory_gb)
         && a.types == b.types
@@ -295,8 +297,8 @@
         && (a.spot, a.rank, a.free) == (b.spot, b.rank, b.free)
 }
 
-/// So many tasks of a job as a demand for machines in these zones, or in any if there
-/// are none.
+/// Describes `count` tasks of a job as demand for machines in `zones`, or in any zone
+/// if the list is empty.
 fn demand_of(job: &Job, zones: Vec<String>, count: u32) -> Demand {
     let spec = &job.spec;
     Demand {
--- a/crates/pulleywood-scheduler/src/shard/done_batch.rs
+++ b/crates/pulleywood-scheduler/src/shard/done_batch.rs
@@ -1,8 +1,8 @@
-//! Batches of done tasks: what the leader commits before workers may forget their
-//! finished tasks.
+//! Batches of done tasks: what the leader commits before workers may forget their done
+//! tasks.
 //!
 //! Invariant: a task counts as committed only after its batch was applied, and is not
-//! cleared from its machine before.
+//! cleared from its machine before that.
 
 use crate::config::Config;
 use crate::shard::batch_builder::{BatchBuilder, JobWrites};
@@ -14,27 +14,27 @@
 
 pub use crate::shard::batch_builder::{Batch, BatchJob};
 
-/// Done tasks of a machine that has held nothing else for this long are committed, as
-/// the machine can be released only without them.
+/// If a machine has held no other task for this long, its done tasks are committed,
+/// because the machine can be released only without them.
 const IDLE_BEFORE_COMMIT: Duration = Duration::from_secs(8);
 
-/// How urgently a job's done tasks are committed, most urgent first.
+/// How urgently a job's done tasks must be committed, most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum CommitUrgency {
-    /// Its user waits to hear that it is done, or other shards wait for this shard's
-    /// share of it.
+    /// The job's user waits to learn that it is done, or other shards wait for this
+    /// shard's part of it.
     Immediate,
-    /// Its done tasks have waited long enough.
+    /// The done tasks have waited for the maximum commit delay.
     Overdue,
 }
 
 impl Job {
-    /// How urgently its done tasks are committed. None: not yet.
+    /// How urgently the job's done tasks must be committed. `None` if not yet.
     ///
-    /// One write of a record costs the same for one done task as for all of them, and
-    /// a task whose result is lost with its machine exits as done at once when it is
-    /// launched again. So done tasks are collected until the job, or this shard's share
-    /// of it, is done, or the first of them has waited for [`Config::done_age`].
+    /// Writing a record costs the same for one done task as for all, and a task whose
+    /// result is lost with its machine exits as done at once when it is launched again.
+    /// Done tasks are therefore collected until the job, or this shard's part of it, is
+    /// done, or the first of them has waited for [`Config::max_commit_delay`].
     fn commit_urgency(&self, now: MonotonicTime, config: &Config) -> Option<CommitUrgency> {
         if self.is_complete() || self.needs_rewrite {
             return Some(CommitUrgency::Immediate);
@@ -45,18 +45,18 @@
         if self.assigned.iter().all(|i| self.done.contains(i)) {
             return Some(CommitUrgency::Immediate);
         }
-        let aged = self
+        let overdue = self
             .uncommitted_since
             .is_none_or(|at| now.since(at) >= config.max_commit_delay());
-        aged.then_some(CommitUrgency::Overdue)
+        overdue.then_some(CommitUrgency::Overdue)
     }
 
-    /// What was written of it is stored at this revision.
-    fn mark_written(&mut self, applied: &BatchJob, revision: Revision) {
-        for &index in &applied.tasks {
+    /// Records that the job's part of a batch was stored at this revision.
+    fn mark_written(&mut self, written: &BatchJob, revision: Revision) {
+        for &index in &written.tasks {
             self.committed.insert(index);
         }
-        for &chunk in &applied.chunks {
+        for &chunk in &written.chunks {
             if chunk == 0 {
                 if revision > self.revision {
                     self.resolve_offer();
@@ -72,7 +72,7 @@
 }
 
 impl ShardState {
-    /// Jobs with done tasks to commit now, most urgent first.
+    /// Returns the jobs with done tasks to commit now, most urgent first.
     fn jobs_to_commit(&self, now: MonotonicTime, config: &Config) -> Vec<(CommitUrgency, &JobId)> {
         let mut due: Vec<(CommitUrgency, &JobId)> = self
             .dirty_jobs
@@ -83,8 +83,8 @@
         due
     }
 
-    /// Done tasks of machines that are about to be reclaimed, or could be released,
-    /// are committed with the next batch.
+    /// Puts the done tasks of machines that are about to be reclaimed, or that could be
+    /// released, into the next batch.
     pub(super) fn expedite_done_tasks(&mut self, now: MonotonicTime) {
         for machine in self.machines.values() {
             let idle = machine
@@ -103,8 +103,8 @@
         }
     }
 
-    /// The next batch, conditioned on the shard's revision and on every key it
-    /// changes. None if there is nothing to commit.
+    /// Builds the next batch, conditioned on the shard's revision and on the revision
+    /// of every key that it changes. `None` if there is nothing to commit.
     pub fn next_batch(
         &self,
         shard_revision: Revision,
@@ -128,26 +128,27 @@
         builder.build(job_batches)
     }
 
-    /// A batch was committed at this revision: its tasks may be cleared from now on.
+    /// Records that a batch was committed at this revision. Its tasks may be cleared
+    /// from now on.
     pub fn mark_batch_committed(&mut self, batch: &Batch, revision: Revision) {
-        for applied in &batch.jobs {
-            if applied.final_record.is_some() {
-                self.remove_job(&applied.id);
+        for written in &batch.jobs {
+            if written.final_record.is_some() {
+                self.remove_job(&written.id);
                 continue;
             }
-            let Some(job) = self.jobs.get_mut(&applied.id) else {
+            let Some(job) = self.jobs.get_mut(&written.id) else {
                 continue;
             };
-            job.mark_written(applied, revision);
+            job.mark_written(written, revision);
             if !job.has_uncommitted() && job.done.len() < job.spec.tasks {
-                self.dirty_jobs.remove(&applied.id);
+                self.dirty_jobs.remove(&written.id);
                 job.uncommitted_since = None;
             }
         }
     }
 
-    /// Whether the next batch is urgent: it ends a job, or this shard's share of one,
-    /// for which its user waits. None: there is nothing to commit.
+    /// Whether the next batch is urgent because it completes a job, or this shard's
+    /// part of one, that its user waits for. `None` if there is nothing to commit.
     pub fn next_batch_is_urgent(&self, now: MonotonicTime, config: &Config) -> Option<bool> {
         let due = self.jobs_to_commit(now, config);
         Some(due.first()?.0 == CommitUrgency::Immediate)
--- a/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
+++ b/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
@@ -1,13 +1,13 @@
-//! Whether a failure is the job's fault or the machine's.
+//! Attribution of task failures to the job or to the machine.
 //!
-//! A faulty machine fails whatever is launched there; a job that was submitted with
-//! a mistake fails wherever it is launched. What the job does elsewhere tells them
-//! apart: evidence against a machine is a failure there of a job that runs well on
-//! others. A job that fails on several machines and runs well on none is broken. It
-//! is tried now and then with one task.
+//! A faulty machine fails every job that is launched on it; a job that was submitted
+//! with a mistake fails on every machine. How the job does on other machines tells the
+//! two apart: a failure counts against a machine if the job runs well on others. A job
+//! that fails on several machines and runs well on none is broken. It is retried at
+//! intervals with a single task.
 //!
-//! Invariant: until a broken job runs well it takes nothing from others: no resources
-//! are reserved, rented or freed for it, and no machine is blamed for its failures.
+//! Invariant: until a broken job runs well, it takes nothing from others: no resources
+//! are reserved, rented or freed for it, and its failures count against no machine.
 
 use crate::config::Config;
 use crate::shard::machine::SlotState;
@@ -17,39 +17,40 @@
 
 pub use crate::shard::health::{Health, HealthEvent};
 
-/// A task that has run for this long runs well, if that is also longer than other
-/// tasks of its job took to fail.
-const RUNS_WELL_AFTER: Duration = Duration::from_secs(5);
+/// A task that has run for this long is running well, provided that this is also longer
+/// than tasks of its job took to fail.
+const MIN_SUCCESSFUL_RUN: Duration = Duration::from_secs(5);
 
 impl ShardState {
-    /// A task of a job failed after running for `ran`, on a machine that is taken out
-    /// of `machines` meanwhile.
+    /// Records that a task of a job failed after running for `run_time`. The machine is not
+    /// in `machines` during this call.
     pub(super) fn record_task_failure(
         &mut self,
         id: &JobId,
         machine: &MachineId,
-        ran: Duration,
+        run_time: Duration,
         now: MonotonicTime,
     ) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         self.failing_jobs.insert(id.clone());
-        if job.health.record_failure(machine, ran, now) {
+        if job.health.record_failure(machine, run_time, now) {
             self.health_events.push(HealthEvent::JobBroken(id.clone()));
         }
     }
 
-    /// Attributes recent failures: to the machines if the job runs well elsewhere,
-    /// and quarantines machines by these. Returns whether a job or a machine can be
-    /// used again or no longer.
+    /// Attributes recent failures to machines where the job runs well on others, and
+    /// quarantines machines accordingly. Returns whether a job or machine became usable
+    /// or unusable.
     pub(super) fn attribute_failures(&mut self, now: MonotonicTime, config: &Config) -> bool {
         let recovered = self.attribute_failures_of_healthy_jobs(now);
         let quarantines = self.update_quarantines(config);
         recovered || quarantines
     }
 
-    /// Returns whether a broken job runs well again.
+    /// Counts failures of jobs that run well against the machines on which they
+    /// happened. Returns whether a broken job runs well again.
     fn attribute_failures_of_healthy_jobs(&mut self, now: MonotonicTime) -> bool {
         let mut recovered = false;
         for id in std::mem::take(&mut self.failing_jobs) {
@@ -76,7 +77,8 @@
         recovered
     }
 
-    /// Returns whether a machine was quarantined or is used again.
+    /// Quarantines and restores machines by the number of jobs that failed on them.
+    /// Returns whether any machine changed.
     fn update_quarantines(&mut self, config: &Config) -> bool {
         let mut changed = false;
         for (id, machine) in &mut self.machines {
@@ -95,23 +97,23 @@
         changed
     }
 
-    /// Whether some task of a job is done, or has run for longer than others took to
-    /// fail.
+    /// Whether some task of a job is done, or has been running for longer than others
+    /// took to fail.
     fn is_running_well(&self, id: &JobId, job: &Job, now: MonotonicTime) -> bool {
-        let long = RUNS_WELL_AFTER.max(job.health.longest_failed_run() * 2);
-        let well = |(index, (machine, attempt)): (&u32, &(MachineId, _))| {
+        let min_run = MIN_SUCCESSFUL_RUN.max(job.health.longest_failed_run() * 2);
+        let has_run_well = |(index, (machine, attempt)): (&u32, &(MachineId, _))| {
             let slots = self.machines.get(machine).map(|m| &m.slots);
             slots.into_iter().flatten().any(|s| {
                 (s.task.index, s.attempt) == (*index, *attempt)
                     && s.task.job == *id
                     && s.state == SlotState::Running
-                    && s.running_since.is_some_and(|at| now.since(at) >= long)
+                    && s.running_since.is_some_and(|at| now.since(at) >= min_run)
             })
         };
-        !job.done.is_empty() || job.active.iter().any(well)
+        !job.done.is_empty() || job.active.iter().any(has_run_well)
     }
 
-    /// What failures showed of jobs and machines since the last call.
+    /// Returns the health changes of jobs and machines since the last call.
     pub fn take_health_events(&mut self) -> Vec<HealthEvent> {
         std::mem::take(&mut self.health_events)
     }
--- a/crates/pulleywood-scheduler/src/shard/job.rs
+++ b/crates/pulleywood-scheduler/src/shard/job.rs
@@ -1,8 +1,8 @@
 //! A live job as its shard's leader knows it.
 //!
-//! Invariant: `waiting` holds only tasks that this shard runs and that are neither
-//! active, done nor offered. The methods of [`Job`] keep it; other modules change the
-//! sets only through them.
+//! Invariant: `waiting` holds only tasks that are assigned to this shard and are
+//! neither active, done nor offered to another shard. The methods of [`Job`] maintain
+//! it; other modules change the sets only through them.
 
 use crate::shard::health::Health;
 use pulleywood_protocol::job::Shape;
@@ -11,67 +11,70 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A live job.
+/// A job that is neither done nor cancelled, with the state of the tasks that this
+/// shard runs.
 #[derive(Debug)]
 pub struct Job {
     /// The job as it was submitted.
     pub spec: Arc<JobSpec>,
-    /// When it was submitted, in milliseconds of the accepting controller's time of day.
+    /// Time of submission, in milliseconds of the accepting controller's time of day.
     pub submitted_at_ms: u64,
-    /// Revision of its record, or of the job batch it was accepted in.
+    /// Revision of the job's record, or of the job batch that contains it.
     pub revision: Revision,
-    /// It is still stored in that job batch and has no record of its own.
+    /// Whether the job is still stored in a job batch and has no record of its own.
     pub in_job_batch: bool,
-    /// Revisions of the chunk records that continue its set of done tasks, by chunk.
+    /// Revisions of the chunk records that continue the set of done tasks, by chunk
+    /// number.
     pub(super) chunk_revisions: BTreeMap<u32, Revision>,
-    /// The shard that accepted it.
+    /// The shard that accepted the job.
     pub(super) submitting_shard: ShardId,
-    /// Its transfers between shards, as stored.
+    /// Transfers of the job's tasks between shards, as stored in its record.
     pub(super) transferred: Vec<TaskTransfer>,
     /// Tasks that this shard runs.
     pub(super) assigned: TaskSet,
-    /// Tasks offered to another shard under the record's present revision. They are
-    /// not launched until that revision has changed, which resolves the offer.
+    /// Tasks offered to another shard under the record's current revision. They are not
+    /// launched until the record has a newer revision, which resolves the offer.
     pub(super) offered: TaskSet,
-    /// The zone that the offered tasks are bound to.
+    /// The zone that the offered tasks are bound to, if any.
     pub(super) offered_zone: Option<String>,
-    /// Zones that tasks transferred to this shard are bound to, by task.
+    /// Zones that tasks transferred to this shard are bound to, by task index.
     pub zone_bindings: BTreeMap<u32, String>,
-    /// How many tasks transferred to other shards are bound to each zone.
+    /// Number of tasks that are bound to each zone and were transferred to other
+    /// shards.
     pub(super) transferred_by_zone: BTreeMap<String, u32>,
-    /// The record must be rewritten unchanged, to resolve an offer whose outcome
-    /// is not known.
+    /// Whether the record must be rewritten unchanged, to resolve an offer whose
+    /// outcome is unknown.
     pub(super) needs_rewrite: bool,
     /// Done tasks, committed or not.
     pub done: TaskSet,
-    /// Done tasks as committed to the store.
+    /// Done tasks that are committed to the state service.
     pub committed: TaskSet,
-    /// Since when a done task waits for its commit. None: it is committed with
-    /// the next batch.
+    /// Since when a done task has been waiting for its commit. `None` if uncommitted
+    /// tasks are to go into the next batch.
     pub(super) uncommitted_since: Option<MonotonicTime>,
-    /// Tasks to launch.
+    /// Tasks that can be launched.
     pub waiting: TaskSet,
-    /// Tasks that run or may run, with their machine and attempt.
+    /// Tasks that run or may run, with their machine and attempt, by task index.
     pub active: BTreeMap<u32, (MachineId, Attempt)>,
     /// The attempt that all tasks of a gang share while any of them is active.
     pub(super) gang_attempt: Option<Attempt>,
-    /// A task of the gang's present attempt ended without being done: the others
-    /// end too, and none is launched until they have.
+    /// Whether a task of the gang's current attempt ended without being done. The other
+    /// tasks end too, and none is launched until all of them have ended.
     pub gang_interrupted: bool,
-    /// An earlier leader may have launched tasks of it.
+    /// Whether a previous leader may have launched tasks of the job.
     pub(super) maybe_launched_before: bool,
-    /// Its user is cancelling it: nothing of it is launched until then. Only its
-    /// record tells whether it was cancelled.
+    /// Until this time no task is launched, because the job's user is cancelling it.
+    /// Only the job's record tells whether the cancellation succeeded.
     pub cancelling_until: MonotonicTime,
-    /// What its failures show.
+    /// Failures of the job and what follows from them.
     pub health: Health,
-    /// When this leader first saw it.
+    /// When this leader first saw the job.
     pub(super) first_seen_at: MonotonicTime,
 }
 
 impl Job {
-    /// A job that this shard has not known so far, of which it runs `assigned`; no
-    /// task is waiting or committed yet.
+    /// Creates a job that is new to this shard, with `assigned` as the tasks that it
+    /// runs. No task is waiting or committed yet.
     pub(super) fn new(
         record: &JobRecord,
         revision: Revision,
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Takes over a newer revision of its record, with the tasks that it holds as done.
-    /// This also resolves an offer.
+    /// Applies a newer revision of the job's record. `committed` holds the tasks that
+    /// the record lists as done. The new revision also resolves an offer.
     pub(super) fn update(
         &mut self,
         record: &JobRecord,
@@ -129,8 +132,8 @@
         self.resolve_offer();
     }
 
-    /// Whether a task can be launched: it is this shard's, and neither active, done nor
-    /// offered.
+    /// Whether a task can be launched: it is assigned to this shard and neither active,
+    /// done nor offered.
     fn is_launchable(&self, index: u32) -> bool {
         self.assigned.contains(index)
             && !self.done.contains(index)
@@ -138,7 +141,7 @@
             && !self.active.contains_key(&index)
     }
 
-    /// Puts a task into `waiting`, or takes it out, by whether it can be launched.
+    /// Adds a task to `waiting` if it can be launched, and removes it otherwise.
     fn update_waiting_task(&mut self, index: u32) {
         if self.is_launchable(index) {
             self.waiting.insert(index);
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Computes `waiting` anew from the other sets.
+    /// Recomputes `waiting` from the other sets.
     pub(super) fn update_waiting(&mut self) {
         let mut waiting = TaskSet::new();
         for index in self.assigned.iter().filter(|i| self.is_launchable(*i)) {
@@ -156,21 +159,22 @@
         self.waiting = waiting;
     }
 
-    /// These tasks are offered to another shard, bound to a zone or to none.
+    /// Marks tasks as offered to another shard. `zone` is the zone they are bound to,
+    /// if any.
     pub(super) fn mark_offered(&mut self, tasks: TaskSet, zone: Option<String>) {
         self.offered = tasks;
         self.offered_zone = zone;
         self.update_waiting();
     }
 
-    /// The offer has ended: the offered tasks are transferred, or were not and wait again.
+    /// Ends an offer. Tasks that were not transferred wait again.
     pub(super) fn resolve_offer(&mut self) {
         self.needs_rewrite = false;
         self.offered = TaskSet::new();
         self.update_waiting();
     }
 
-    /// These tasks are stored as done.
+    /// Marks tasks as done and committed.
     pub(super) fn mark_committed(&mut self, tasks: &TaskSet) {
         for index in tasks.iter() {
             self.committed.insert(index);
@@ -179,8 +183,8 @@
         }
     }
 
-    /// A task exited as done. Returns whether that was not known before. Tasks of a
-    /// service never are: a replica that ends by itself is started again.
+    /// Marks a task as done and returns whether it was not done before. Replicas of a
+    /// service are never done: one that exits is launched again.
     pub(super) fn mark_done(&mut self, index: u32, now: MonotonicTime) -> bool {
         if !self.spec.shape.completes() || index >= self.spec.tasks {
             return false;
@@ -192,16 +196,17 @@
         self.done.insert(index)
     }
 
-    /// An attempt of a task runs or may run on a machine.
+    /// Records that an attempt of a task runs or may run on a machine.
     pub(super) fn mark_active(&mut self, index: u32, machine: MachineId, attempt: Attempt) {
         self.active.insert(index, (machine, attempt));
         self.gang_attempt.get_or_insert(attempt);
         self.waiting.remove(index);
     }
 
-    /// An attempt has surely ended: its task waits again unless it is done. Only
-    /// the attempt counts, not the machine: an older attempt that ended there says
-    /// nothing of a newer one.
+    /// Records that an attempt has ended. Its task waits again unless it is done.
+    ///
+    /// Attempts are compared rather than machines: the end of an older attempt says
+    /// nothing about a newer one on the same machine.
     pub(super) fn end_attempt(&mut self, index: u32, attempt: Attempt) {
         if self.active.get(&index).is_none_or(|(_, a)| *a != attempt) {
             return;
@@ -215,17 +220,18 @@
         self.update_waiting_task(index);
     }
 
-    /// Whether all its tasks are done, which ends it. A service never ends so.
+    /// Whether all tasks are done, which ends the job. A service is never complete.
     pub(super) fn is_complete(&self) -> bool {
         self.spec.shape.completes() && self.done.len() >= self.spec.tasks
     }
 
-    /// Whether some done task is not committed.
+    /// Whether any done task is not committed.
     pub(super) fn has_uncommitted(&self) -> bool {
         self.done.len() != self.committed.len()
     }
 
-    /// The record to store, with `done` as the text of its first chunk of done tasks.
+    /// Returns the job's record as it is to be stored. `done` is the encoded first
+    /// chunk of done tasks.
     pub fn to_record(&self, done: String) -> JobRecord {
         JobRecord {
             spec: (*self.spec).clone(),
@@ -236,19 +242,19 @@
         }
     }
 
-    /// Whether its tasks may run in different shards: none of them depends on
-    /// where the others run.
+    /// Whether the job's tasks may run in different shards: no task depends on where
+    /// the others run.
     pub fn may_be_transferred(&self) -> bool {
         let spec = &self.spec;
         spec.shape != Shape::Gang && (spec.tasks == 1 || !spec.one_zone)
     }
 }
 
-/// Zones that the transfers of a job's record bind its tasks to.
+/// Zones to which the transfers in a job's record bind tasks.
 struct ZoneBindings {
-    /// Tasks transferred to this shard that are bound to a zone.
+    /// Zones of tasks that were transferred to this shard, by task index.
     bound_here: BTreeMap<u32, String>,
-    /// Counts of such tasks of other shards.
+    /// Number of bound tasks that were transferred to other shards, by zone.
     transferred_by_zone: BTreeMap<String, u32>,
 }
 
--- a/crates/pulleywood-scheduler/src/shard/jobs.rs
+++ b/crates/pulleywood-scheduler/src/shard/jobs.rs
@@ -1,9 +1,9 @@
-//! Jobs of a shard: they follow the records in the store.
+//! Updates of a shard's jobs from their records in the state service.
 //!
-//! Invariants: a record that is not newer than the known one changes nothing; a
-//! task that a machine has shown is not launched elsewhere, also if it was seen
-//! before the job's record; what runs of a job whose record is gone or unreadable
-//! holds its machine's resources until a heartbeat lacks it.
+//! Invariants: a record that is not newer than the known one changes nothing; a task
+//! that a machine has reported is not launched on another one, even if it was reported
+//! before the job's record arrived; attempts of a job whose record is gone or
+//! unreadable hold their machine's resources until a heartbeat does not list them.
 
 use crate::config::Config;
 use crate::shard::{Job, ShardState};
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 
 impl ShardState {
-    /// A job's record appeared or changed. `maybe_launched_before`: an earlier
-    /// leader may have launched tasks of it.
+    /// Applies a job's new or changed record. `maybe_launched_before`: a previous
+    /// leader may have launched tasks of the job.
     pub fn put_job(
         &mut self,
         record: &JobRecord,
@@ -26,7 +26,7 @@
         self.unreadable_jobs.remove(id);
         let shard = self.shard;
         match self.jobs.get_mut(id) {
-            // Nothing new, as after a batch of this leader's own.
+            // The record is known, for example because this leader wrote it.
             Some(job) if revision <= job.revision => return,
             Some(job) => {
                 job.update(record, revision, shard, &committed_tasks(record, config));
@@ -34,7 +34,7 @@
                     self.jobs.remove(id);
                 }
             }
-            // Most records are of other shards.
+            // Most records belong to other shards.
             None if !concerns_shard(record, shard) => return,
             None => {
                 let assigned = record.share(shard);
@@ -49,15 +49,15 @@
             }
         }
         self.attach_seen_attempts(id);
-        // A record may hold all tasks as done if its last batch was split.
+        // The record may list all tasks as done if the last batch was split.
         self.dirty_jobs.insert(id.clone());
         self.invalidate_plan();
     }
 
-    /// Machines may have shown tasks of a job before its record came, or before its
-    /// record gave them to this shard. These tasks are active until a heartbeat
-    /// lacks them, though they were told to stop: they are neither launched
-    /// elsewhere nor transferred.
+    /// Marks tasks active that machines reported before the job's record arrived, or
+    /// before its record assigned them to this shard. They stay active until a
+    /// heartbeat does not list them, although they were told to stop, so that they are
+    /// neither launched on another machine nor transferred.
     fn attach_seen_attempts(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -74,8 +74,8 @@
         }
     }
 
-    /// A job was accepted in a job batch. One that is known already has a record of
-    /// its own by now, or is known from this job batch.
+    /// Applies a job that was accepted in a job batch. A job that is already known has
+    /// its own record by now, or is known from this batch.
     pub fn put_batched_job(
         &mut self,
         record: &JobRecord,
@@ -94,7 +94,8 @@
         }
     }
 
-    /// A chunk record that continues a job's set of done tasks appeared or changed.
+    /// Applies a new or changed chunk record, which continues a job's set of done
+    /// tasks.
     pub fn put_chunk(
         &mut self,
         id: &JobId,
@@ -118,8 +119,9 @@
         self.dirty_jobs.insert(id.clone());
     }
 
-    /// A job's record is gone: it is done or cancelled. What still runs of it is
-    /// stopped without leeway, and counts until a heartbeat lacks it.
+    /// Removes a job whose record is gone because the job is done or was cancelled. Its
+    /// running attempts are stopped without a grace period and counted until a
+    /// heartbeat does not list them.
     pub fn remove_job(&mut self, id: &JobId) {
         let known = self.jobs.remove(id).is_some();
         if !self.unreadable_jobs.remove(id) && !known {
@@ -134,16 +136,16 @@
         self.invalidate_plan();
     }
 
-    /// A job's record appeared or changed and cannot be read: what runs of it is
-    /// left alone, and nothing of it is launched.
+    /// Handles a new or changed record that cannot be read. Running tasks of the job
+    /// are left alone and none is launched.
     pub fn mark_job_unreadable(&mut self, id: &JobId) {
         let known = self.jobs.remove(id).is_some();
         self.unreadable_jobs.insert(id.clone());
         if !known {
             return;
         }
-        // Its tasks hold all of their machines' resources: what they need is not
-        // known any more.
+        // What these tasks need is no longer known, so each counts as holding its whole
+        // machine.
         for machine in self.machines.values_mut() {
             for slot in machine.slots.iter_mut().filter(|s| &s.task.job == id) {
                 slot.spec = None;
@@ -153,8 +155,9 @@
         self.invalidate_plan();
     }
 
-    /// A job's user is cancelling it: nothing of it is launched until its record
-    /// changes or this time has come. It ends nothing, as the cancellation may fail.
+    /// Launches no task of a job until its record changes or the given time, because
+    /// the job's user is cancelling it. Running tasks are not stopped, since the
+    /// cancellation may fail.
     pub fn hold_for_cancellation(&mut self, id: &JobId, until: MonotonicTime) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.cancelling_until = job.cancelling_until.max(until);
@@ -162,21 +165,21 @@
         }
     }
 
-    /// When a job was submitted, on this process's clock.
+    /// When a job was submitted, on this process's monotonic clock.
     pub(crate) fn submitted_at(&self, job: &Job) -> MonotonicTime {
         let at = i64::try_from(job.submitted_at_ms).unwrap_or(i64::MAX);
         MonotonicTime(at.saturating_add(self.wall_clock_offset_ms).max(0) as u64)
     }
 }
 
-/// Whether the shard accepted the job or was given tasks of it.
+/// Whether the shard accepted the job or received tasks of it by transfer.
 fn concerns_shard(record: &JobRecord, shard: ShardId) -> bool {
     record.shard == shard || record.transferred.iter().any(|t| t.shard == shard)
 }
 
-/// Tasks that a job's record itself holds as done. A text that cannot be read
-/// counts as none, rather than losing the job: its tasks exit as done at once if
-/// they are launched again.
+/// Tasks that the job's record itself lists as done. An unreadable list counts as empty
+/// rather than losing the job: if its tasks are launched again, they exit as done at
+/// once.
 fn committed_tasks(record: &JobRecord, config: &Config) -> TaskSet {
     let mut done = TaskSet::new();
     if done.add_chunk(&record.done, 0, config.chunk_tasks, record.spec.tasks) {
--- a/crates/pulleywood-scheduler/src/shard/launch.rs
+++ b/crates/pulleywood-scheduler/src/shard/launch.rs
@@ -1,9 +1,9 @@
-//! Answers to heartbeats, and direct commands.
+//! Commands to workers: heartbeat responses and direct commands.
 //!
-//! Invariants: a task is launched only in the answer to a heartbeat, on a machine
-//! whose tasks are known, and never while another attempt of it may run; attempts
-//! are never reused; a done task is cleared only after its commit. Direct commands
-//! carry no launches.
+//! Invariants: a task is launched only in a heartbeat response, on a machine whose
+//! tasks are known, and never while another attempt of it may run; attempts are never
+//! reused; a done task is cleared only after its commit. Direct commands contain no
+//! launches.
 
 use crate::config::Config;
 use crate::shard::fetch_gate::FetchGate;
@@ -16,16 +16,17 @@
 use std::sync::Arc;
 
 impl ShardState {
-    /// Commands for a machine whose heartbeat has just been accepted. `launch`: the
-    /// controller's lease surely lasts until the answer is sent.
+    /// Returns the commands for a machine whose heartbeat has just been accepted.
+    /// `may_launch`: the controller's lease lasts at least until the response is sent, so
+    /// tasks may be launched.
     pub fn response_commands(
         &mut self,
         id: &MachineId,
-        launch: bool,
+        may_launch: bool,
         now: MonotonicTime,
         config: &Config,
     ) -> Vec<Command> {
-        let planned = if launch {
+        let planned = if may_launch {
             self.replan(id, now, config);
             self.planned_launches.remove(id).unwrap_or_default()
         } else {
@@ -60,8 +61,8 @@
         commands
     }
 
-    /// Stops and clears that stand for a machine: all that a direct command may
-    /// carry.
+    /// Returns the stop and clear commands due on a machine, the only ones that a
+    /// direct command may carry.
     pub fn direct_commands(&self, id: &MachineId) -> Vec<Command> {
         self.machines
             .get(id)
@@ -71,8 +72,9 @@
 }
 
 impl Machine {
-    /// A record without the worker's address is of a machine that was never launched
-    /// on; the next leader relies on that, so the address is stored first.
+    /// Whether tasks may be launched on the machine now. The next leader assumes that
+    /// nothing was ever launched on a machine whose record lacks the worker's address,
+    /// so the address is stored first.
     fn accepts_launches(&self) -> bool {
         self.confirmed
             && self.inbound_partitioned_since.is_none()
@@ -81,12 +83,12 @@
     }
 }
 
-/// What became of a planned launch.
+/// Result of launching a planned task.
 enum LaunchOutcome {
     Command(Command),
-    /// The task does not wait any more, or its image fetch yields to a service's.
+    /// The task no longer waits, or its image fetch is held back by the fetch gate.
     Skipped,
-    /// The fencing token has used up its attempts.
+    /// All attempts of the fencing token have been issued.
     AttemptsExhausted,
 }
 
@@ -97,7 +99,7 @@
     fencing_token: FencingToken,
     jobs: &'a mut BTreeMap<JobId, Job>,
     fetch_gate: &'a mut Option<FetchGate>,
-    /// Attempts issued under the fencing token.
+    /// Number of attempts issued under the fencing token.
     attempts: &'a mut u64,
     now: MonotonicTime,
 }
@@ -107,8 +109,8 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return LaunchOutcome::Skipped;
         };
-        let waits = job.waiting.contains(task.index) && self.now >= job.cancelling_until;
-        if !waits || job.active.contains_key(&task.index) {
+        let is_waiting = job.waiting.contains(task.index) && self.now >= job.cancelling_until;
+        if !is_waiting || job.active.contains_key(&task.index) {
             return LaunchOutcome::Skipped;
         }
         if let Some(gate) = self.fetch_gate
@@ -116,8 +118,9 @@
         {
             return LaunchOutcome::Skipped;
         }
-        let shared = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
-        let Some(attempt) = shared.or_else(|| next_attempt(self.fencing_token, self.attempts))
+        let gang_attempt = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
+        let Some(attempt) =
+            gang_attempt.or_else(|| next_attempt(self.fencing_token, self.attempts))
         else {
             return LaunchOutcome::AttemptsExhausted;
         };
@@ -137,21 +140,23 @@
     }
 }
 
-/// An attempt that was never used. None: the fencing token has none left.
+/// Issues a new attempt. `None` if the fencing token has none left.
 fn next_attempt(fencing_token: FencingToken, issued: &mut u64) -> Option<Attempt> {
     let attempt = Attempt::from_parts(fencing_token, *issued)?;
     *issued += 1;
     Some(attempt)
 }
 
-/// Stops and clears for the attempts on a machine. Attempts of unreadable jobs get
-/// none.
+/// Returns the stop and clear commands due for a machine's attempts. Attempts of
+/// unreadable jobs get none.
 fn stop_and_clear_commands(
     slots: &[Slot],
     jobs: &BTreeMap<JobId, Job>,
-    unreadable: &BTreeSet<JobId>,
+    unreadable_jobs: &BTreeSet<JobId>,
 ) -> Vec<Command> {
-    let readable = slots.iter().filter(|s| !unreadable.contains(&s.task.job));
+    let readable = slots
+        .iter()
+        .filter(|s| !unreadable_jobs.contains(&s.task.job));
     readable
         .filter_map(|s| stop_or_clear_command(s, jobs))
         .collect()
@@ -164,18 +169,19 @@
             let may_be_cleared = !done || has_nothing_to_commit(&task, jobs);
             may_be_cleared.then_some(Command::Clear { task, attempt })
         }
-        // It saves already: only a stop without leeway tells it anything new.
-        (SlotState::Saving, Some(leeway_s)) if leeway_s > 0.0 => None,
-        (_, Some(leeway_s)) => Some(Command::Stop {
+        // The attempt is already saving its state; only a stop without a grace period
+        // changes anything.
+        (SlotState::Saving, Some(grace_s)) if grace_s > 0.0 => None,
+        (_, Some(grace_s)) => Some(Command::Stop {
             task,
             attempt,
-            leeway_s,
+            leeway_s: grace_s,
         }),
         (_, None) => None,
     }
 }
 
-/// Whether nothing about a done task is left to commit.
+/// Whether nothing about a done task remains to be committed.
 fn has_nothing_to_commit(task: &TaskId, jobs: &BTreeMap<JobId, Job>) -> bool {
     jobs.get(&task.job)
         .is_none_or(|job| job.spec.shape == Shape::Service || job.committed.contains(task.index))
--- a/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
+++ b/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
@@ -1,24 +1,25 @@
-//! What follows from the mere passing of time: leases of workers expire and machines
-//! with a spot notice are emptied.
+//! Changes that follow from the passing of time: workers' leases expire, and machines
+//! that the cloud will reclaim are emptied.
 //!
-//! Invariant: a task of a machine that is not heard waits until the worker's lease
-//! has surely expired, counted from the last heartbeat that was answered, or, for
-//! tasks of an earlier leader, until that leader's last launches have ended too.
+//! Invariant: a task on a machine that stopped sending heartbeats is not launched again
+//! before the worker's lease has expired, counted from the last heartbeat that was
+//! answered. If a previous leader launched the task, that leader's last launches must
+//! have ended too.
 
 use crate::config::Config;
 use crate::shard::ShardState;
 use crate::shard::machine::{Machine, Slot};
 use pulleywood_protocol::MonotonicTime;
 
-/// A stop must be sent this much before the cloud reclaims a machine, besides the time
-/// that the task takes to save: heartbeat intervals, of which one answer may be lost,
-/// and seconds.
+/// Time by which a stop must precede the reclaim of a machine, besides the time that
+/// the task takes to save: a number of heartbeat intervals, so that one response may be
+/// lost, and a number of seconds.
 const STOP_MARGIN_INTERVALS: f64 = 2.5;
 const STOP_MARGIN_S: f64 = 0.5;
 
 impl ShardState {
-    /// Brings the state up to the time: expired leases, spot notices, attribution of
-    /// failures, done tasks that are to be committed soon.
+    /// Applies what follows from the current time: expired leases, reclaim notices,
+    /// attribution of failures, and done tasks that must be committed soon.
     pub fn tick(&mut self, now: MonotonicTime, config: &Config) {
         let mut ended: Vec<Slot> = Vec::new();
         let mut changed = false;
@@ -33,7 +34,7 @@
                 && !machine.unreported
                 && machine.confirmed
             {
-                // Its worker has killed and forgotten everything.
+                // Without a lease, the worker has killed its tasks and forgotten them.
                 machine.confirmed = false;
                 machine.idle_since = None;
                 ended.append(&mut machine.slots);
@@ -62,8 +63,8 @@
         self.last_response_at.is_none_or(|at| now >= at + lease)
     }
 
-    /// Stops the tasks that need the time left until the cloud reclaims the machine
-    /// to save.
+    /// Stops the tasks that need all the time left until the cloud reclaims the machine
+    /// to save their state.
     fn stop_before_reclaim(&mut self, now: MonotonicTime, config: &Config) {
         let Some(reclaim_at) = self.reclaim_at else {
             return;
--- a/crates/pulleywood-scheduler/src/shard/machine.rs
+++ b/crates/pulleywood-scheduler/src/shard/machine.rs
@@ -1,7 +1,7 @@
-//! A machine of a shard, and the attempts on it.
+//! A machine of a shard and the task attempts on it.
 //!
-//! Invariant: an attempt that may run keeps its slot, and with it its resources, until
-//! [`crate::shard`] knows that it has ended.
+//! Invariant: an attempt that may be running keeps its slot, and so its resources,
+//! until the leader knows that it has ended.
 
 use crate::config::Config;
 use crate::resources::ResourceVector;
@@ -13,31 +13,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What is known of an attempt.
+/// Last known state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
-    /// Its launch may have been sent in the answer to this heartbeat.
+    /// The launch command was sent in the response to this heartbeat and may not have
+    /// arrived.
     Sent {
-        /// The heartbeat's incarnation.
+        /// Incarnation of the worker that sent the heartbeat.
         incarnation: u64,
-        /// The heartbeat's number.
+        /// Sequence number of the heartbeat.
         seq: u64,
     },
-    /// It waits for its image or for the rest of its gang.
+    /// The attempt waits for its image or for the rest of its gang.
     Fetching,
-    /// It runs.
+    /// The attempt is running.
     Running,
-    /// It saves its state before it exits.
+    /// The attempt is saving its state before it exits.
     Saving,
-    /// It ended. Its slot stays until a heartbeat lacks it.
+    /// The attempt ended. Its slot remains until a heartbeat does not list it.
     Exited {
-        /// Its task is done: it is cleared only after the commit.
+        /// Whether the task is done. If so, it is cleared only after its commit.
         done: bool,
     },
 }
 
 impl SlotState {
-    /// Whether it waits for its image, as far as is known.
+    /// Whether the attempt is, or may be, waiting for its image.
     pub(super) fn is_fetching(self) -> bool {
         matches!(self, SlotState::Sent { .. } | SlotState::Fetching)
     }
@@ -46,81 +47,88 @@
 /// One attempt on a machine.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// The task.
+    /// The task that the attempt belongs to.
     pub task: TaskId,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// What is known of it.
+    /// Last known state of the attempt.
     pub state: SlotState,
-    /// Its job, which tells what resources it holds. None: it is not known or not live
-    /// in this shard, and the attempt counts as holding the whole machine.
+    /// Specification of the attempt's job, which defines the resources that it holds.
+    /// `None` if the job is unknown or not live in this shard; the attempt then counts
+    /// as holding the whole machine.
     pub spec: Option<Arc<JobSpec>>,
-    /// It is told to stop, with so many seconds to save its state.
+    /// Seconds that the task has to save its state after it is told to stop. `None` if
+    /// it is not told to stop.
     pub stop_grace_s: Option<f64>,
-    /// When it was launched or first seen.
+    /// When the attempt was launched by this leader or first reported.
     pub created_at: MonotonicTime,
-    /// When it was first seen running.
+    /// When the attempt was first reported as running.
     pub running_since: Option<MonotonicTime>,
 }
 
 impl Slot {
-    /// Whether it holds resources of its machine.
+    /// Whether the attempt holds resources of its machine.
     pub fn holds_resources(&self) -> bool {
         !matches!(self.state, SlotState::Exited { .. })
     }
 }
 
-/// A machine of the shard.
+/// A machine that the shard commands.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its record.
+    /// The machine's stored record.
     pub record: MachineRecord,
-    /// The record's revision.
+    /// Revision of the record.
     pub revision: Revision,
-    /// A heartbeat has shown its present fencing token: what it runs is known.
+    /// Whether a heartbeat has shown the current fencing token, so that the tasks on
+    /// the machine are known.
     pub confirmed: bool,
-    /// It may run tasks of an earlier leader that this one has not seen.
+    /// Whether the machine may run tasks of a previous leader that have not been
+    /// reported to this leader.
     pub unreported: bool,
-    /// Incarnation and number of the newest message accepted from it.
+    /// Incarnation and sequence number of the newest message accepted from the worker.
     pub last_message: (u64, u64),
-    /// When its record appeared.
+    /// When the machine's record appeared in this shard.
     pub(super) added_at: MonotonicTime,
     /// Arrival of the last heartbeat.
     pub last_heartbeat_at: Option<MonotonicTime>,
-    /// Arrival of the last heartbeat that was answered, from which its worker's lease
-    /// counts.
+    /// Arrival of the last heartbeat that was answered. The worker's lease is counted
+    /// from it.
     pub last_response_at: Option<MonotonicTime>,
-    /// Incarnation and number of the last message accepted before the last answer: the
-    /// next heartbeat shows whether the answer arrived.
+    /// Incarnation and sequence number of the last message accepted before the last
+    /// response. The next heartbeat shows whether the worker received that response.
     pub(super) unacknowledged_response: Option<(u64, u64)>,
-    /// Since when it is inbound partitioned: its heartbeats come, but they show that
-    /// answers do not reach its worker. It takes no launches until one shows
-    /// otherwise.
+    /// Since when the machine has been inbound partitioned: its heartbeats arrive, but
+    /// show that responses do not reach the worker. No task is launched until a
+    /// heartbeat shows otherwise.
     pub inbound_partitioned_since: Option<MonotonicTime>,
-    /// When a heartbeat last showed that messages pass both ways.
+    /// When a heartbeat last showed that messages pass in both directions.
     pub(super) last_round_trip_at: MonotonicTime,
-    /// When the cloud reclaims it, if it gave notice.
+    /// When the cloud will reclaim the machine, if it gave notice.
     pub reclaim_at: Option<MonotonicTime>,
-    /// Attempts on it.
+    /// Attempts on the machine.
     pub slots: Vec<Slot>,
-    /// Names and sizes in GB of the images it has, most recently used last.
+    /// Names and sizes in GB of the images in the machine's cache, most recently used
+    /// last.
     pub images: VecDeque<(String, f64)>,
-    /// Since when no attempt holds resources of it.
+    /// Since when no attempt has held resources of the machine. `None` if one does.
     pub idle_since: Option<MonotonicTime>,
-    /// Jobs that failed here and run well elsewhere, and since when that is known. A
-    /// task that was launched here later and is done clears them.
+    /// Jobs that failed on this machine and run well on others, with the time when that
+    /// was found. A task that is launched here later and completes clears them.
     pub(super) failed_jobs: BTreeMap<JobId, MonotonicTime>,
-    /// It fails jobs that run well elsewhere, and is to be replaced.
+    /// Whether the machine is to be replaced because it fails jobs that run well on
+    /// others.
     pub quarantined: bool,
-    /// Nothing is launched until then, so that it becomes idle.
+    /// Until this time no task is launched, so that the machine becomes idle.
     pub drain_until: MonotonicTime,
-    /// Nothing is launched: it is being moved to another shard or released.
+    /// Whether the machine is being moved to another shard or released. No task is
+    /// launched on it.
     pub leaving: bool,
 }
 
 impl Machine {
-    /// A machine that has sent no heartbeat to this leader. `unreported`: an earlier
-    /// leader may have launched tasks on it.
+    /// Creates a machine that has sent no heartbeat to this leader. `unreported`: a
+    /// previous leader may have launched tasks on it.
     pub(super) fn new(
         record: MachineRecord,
         revision: Revision,
@@ -151,8 +159,8 @@
         }
     }
 
-    /// Takes over its record unless that is older than the known one. Under a new
-    /// fencing token it has to report again before anything is launched.
+    /// Applies the machine's record unless a newer one is known. After a change of
+    /// fencing token, the machine must report again before tasks are launched on it.
     pub(super) fn update(&mut self, record: MachineRecord, revision: Revision) {
         if revision < self.revision {
             return;
@@ -165,22 +173,23 @@
         self.revision = revision;
     }
 
-    /// The fencing token its commands carry: that of the shard, or a newer one that the
-    /// machine has seen.
+    /// The fencing token for commands to the machine: the shard's, or a newer one that
+    /// is recorded for the machine.
     pub fn fencing_token(&self, shard: FencingToken) -> FencingToken {
         self.record.fencing_token.max(shard)
     }
 
-    /// Whether attempts of jobs that are not known here hold resources of it.
+    /// Whether attempts of jobs that this shard does not know hold resources of the
+    /// machine.
     pub fn has_unknown_attempts(&self) -> bool {
         self.slots
             .iter()
             .any(|s| s.spec.is_none() && s.holds_resources())
     }
 
-    /// What all attempts that hold or may hold resources leave of `whole`.
-    pub fn free_resources(&self, whole: ResourceVector) -> ResourceVector {
-        let mut free = whole;
+    /// Resources of a machine of this capacity that no attempt holds or may hold.
+    pub fn free_resources(&self, capacity: ResourceVector) -> ResourceVector {
+        let mut free = capacity;
         for slot in self.slots.iter().filter(|s| s.holds_resources()) {
             if let Some(spec) = &slot.spec {
                 free -= ResourceVector::of_task(spec);
@@ -189,17 +198,19 @@
         free
     }
 
-    /// Whether answers have not reached it for longer than one lost answer explains.
+    /// Whether responses have failed to reach the machine for longer than one lost
+    /// response explains.
     pub fn is_inbound_partitioned(&self, now: MonotonicTime, config: &Config) -> bool {
-        let bound = config.heartbeat_interval.mul_f64(2.5) + Duration::from_secs(1);
+        let threshold = config.heartbeat_interval.mul_f64(2.5) + Duration::from_secs(1);
         self.inbound_partitioned_since
-            .is_some_and(|at| now.since(at) > bound)
+            .is_some_and(|at| now.since(at) > threshold)
     }
 
-    /// Whether it is neither leaving, quarantined, being drained nor about to be reclaimed.
+    /// Whether the machine is neither leaving, quarantined, being drained nor about to
+    /// be reclaimed.
     pub fn remains_in_service(&self, now: MonotonicTime) -> bool {
-        let drains = now < self.drain_until;
-        !(self.leaving || self.quarantined || drains) && self.reclaim_at.is_none()
+        let is_draining = now < self.drain_until;
+        !(self.leaving || self.quarantined || is_draining) && self.reclaim_at.is_none()
     }
 
     /// Resources held by tasks that may not run on spot machines.
@@ -213,7 +224,8 @@
         sum
     }
 
-    /// Processors, GPUs and GB of memory held by each rank, lowest rank first.
+    /// Resources held by each rank, as (rank, processors, GPUs, GB of memory), lowest
+    /// rank first.
     pub fn resources_by_rank(&self) -> Vec<(Rank, f64, f64, f64)> {
         let mut held: BTreeMap<Rank, ResourceVector> = BTreeMap::new();
         for slot in self.slots.iter().filter(|s| s.holds_resources()) {
@@ -226,8 +238,8 @@
             .collect()
     }
 
-    /// An image was used: it is the last to be evicted from the machine's cache of
-    /// `cache_gb`, as far as is known of the worker's cache.
+    /// Marks an image as most recently used and evicts others while the images exceed
+    /// `cache_gb`. This models the worker's cache, which is not observed.
     pub(super) fn mark_image_used(&mut self, name: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(n, _)| n != name);
         self.images.push_back((name.to_owned(), gb));
--- a/crates/pulleywood-scheduler/src/shard/machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/machines.rs
@@ -1,8 +1,8 @@
-//! Machines of a shard: they follow the records in the store.
+//! Updates of a shard's machines from their records in the state service.
 //!
 //! Invariants: a record that is older than the known one changes nothing; a machine
-//! leaves the shard only when the cloud confirmed its release or while it holds
-//! nothing, so that no task of it runs unseen.
+//! leaves the shard only after the cloud confirmed its release or while no attempt is
+//! on it, so that none of its tasks runs without a leader's knowledge.
 
 use crate::shard::ShardState;
 use crate::shard::machine::Machine;
@@ -10,15 +10,15 @@
 use pulleywood_protocol::record::MachineRecord;
 use pulleywood_protocol::{MachineId, MonotonicTime, Revision};
 
-/// The record must name so many of a machine's most recently used images. It may
-/// lack older ones, for which its machine batch had no room; if it were rewritten
-/// for them, it would be so again and again.
-const RECORDED_IMAGES: usize = 8;
+/// Number of most recently used images that a machine's record must list. Older ones
+/// may be missing because its machine batch had no room for them; rewriting the record
+/// for those would repeat without end.
+const MIN_RECORDED_IMAGES: usize = 8;
 
 impl ShardState {
-    /// A machine's record appeared or changed. `inherited`: an earlier leader may
-    /// have launched tasks on it, which it did only if the record holds the worker's
-    /// address.
+    /// Applies a machine's new or changed record. `inherited`: a previous leader may
+    /// have launched tasks on the machine, which it did only if the record holds the
+    /// worker's address.
     pub fn put_machine(
         &mut self,
         id: &MachineId,
@@ -38,8 +38,8 @@
         self.invalidate_plan();
     }
 
-    /// A machine left the shard: the cloud confirmed its release, or it was moved
-    /// while idle. Its tasks wait again.
+    /// Removes a machine whose release the cloud confirmed or that was moved to another
+    /// shard while idle. Its tasks wait again.
     pub fn remove_machine(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.remove(id) {
             for slot in &machine.slots {
@@ -49,8 +49,8 @@
         self.invalidate_plan();
     }
 
-    /// Nothing is launched on these machines until the time given. Machines that are
-    /// no longer named take launches again when their time has passed.
+    /// Launches no task on these machines until the given time. A machine that later
+    /// calls do not name takes launches again after that time.
     pub fn drain(&mut self, ids: &[MachineId], until: MonotonicTime) {
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
@@ -60,15 +60,16 @@
         self.invalidate_plan();
     }
 
-    /// Whether the machine holds nothing and may leave the shard.
+    /// Whether no attempt is on the machine, so that it may leave the shard.
     pub fn may_leave(&self, id: &MachineId) -> bool {
         self.machines
             .get(id)
             .is_some_and(|m| !m.unreported && !m.leaving && m.slots.is_empty())
     }
 
-    /// Machines whose recorded images are out of date, with the record to store: it
-    /// lacks one of the most recently used, or names one that is gone.
+    /// Machines whose recorded images are out of date, with the records to store. A
+    /// record is out of date if it lacks one of the most recently used images or lists
+    /// one that was evicted.
     pub fn outdated_image_records(&self) -> Vec<(MachineId, MachineRecord)> {
         self.machines
             .iter()
@@ -82,8 +83,8 @@
 fn recorded_images_outdated(machine: &Machine) -> bool {
     let recorded = |name: &str| machine.record.images.iter().any(|(n, _)| n == name);
     let present = |name: &str| machine.images.iter().any(|(n, _)| n == name);
-    let mut newest = machine.images.iter().rev().take(RECORDED_IMAGES);
-    newest.any(|(name, _)| !recorded(name))
+    let mut recent = machine.images.iter().rev().take(MIN_RECORDED_IMAGES);
+    recent.any(|(name, _)| !recorded(name))
         || machine.record.images.iter().any(|(name, _)| !present(name))
 }
 
--- a/crates/pulleywood-scheduler/src/shard/mod.rs
+++ b/crates/pulleywood-scheduler/src/shard/mod.rs
@@ -1,19 +1,19 @@
-//! What a shard's leader knows: jobs from the store, and what runs where, rebuilt
-//! from workers' heartbeats.
+//! State of a shard as its leader knows it: jobs from the state service, and running
+//! tasks, rebuilt from workers' heartbeats.
 //!
-//! Invariants, with the module that keeps each:
-//! - launches only in answers to heartbeats, and attempts are never reused
-//!   (`launch`);
-//! - a launch counts as perhaps running until a later heartbeat lacks it
-//!   (`reconcile`);
-//! - a heartbeat counts only if its worker had seen the present fencing token
-//!   (`heartbeat`);
-//! - a task whose machine is not heard waits until that worker's lease has surely
-//!   expired (`lease_expiry`) or the cloud confirmed the machine's release
-//!   (`machines`);
-//! - a job that an earlier leader may have launched waits for the machines that may
-//!   run it (`unreported`);
-//! - an exited task that is done is cleared only after its batch committed
+//! Invariants, with the module that maintains each:
+//! - Tasks are launched only in heartbeat responses, and attempts are never reused
+//!   (`launch`).
+//! - A launched task counts as possibly running until a later heartbeat does not list
+//!   it (`reconcile`).
+//! - The task list of a heartbeat counts only if its worker had seen the current
+//!   fencing token (`heartbeat`).
+//! - A task on a machine that stopped sending heartbeats is not launched again until
+//!   the worker's lease has expired (`lease_expiry`) or the cloud has confirmed the
+//!   machine's release (`machines`).
+//! - A job that a previous leader may have launched waits for the machines that may
+//!   still run it (`unreported`).
+//! - A done task is cleared from its worker only after its batch was committed
 //!   (`done_batch`, `launch`).
 
 mod batch_builder;
@@ -51,59 +51,65 @@
 use pulleywood_protocol::{FencingToken, JobId, MachineId, MonotonicTime, ShardId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a shard's leader knows. Times are on this process's steady clock.
+/// State of one shard, held by its leader. Times are on this process's monotonic clock.
 #[derive(Debug)]
 pub struct ShardState {
-    /// The shard.
+    /// The shard that this state describes.
     pub shard: ShardId,
-    /// The fencing token under which this leader acquired it.
+    /// The fencing token under which this leader acquired the shard.
     pub fencing_token: FencingToken,
-    /// Live jobs.
+    /// Jobs that are neither done nor cancelled and of which this shard runs tasks.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Live jobs whose records cannot be read: what runs of them runs on, done tasks
-    /// of them are kept, and nothing of them is launched.
+    /// Live jobs whose records cannot be read. Their running tasks keep running, their
+    /// done tasks are not cleared, and none of their tasks is launched.
     pub unreadable_jobs: BTreeSet<JobId>,
-    /// Records of machines could not be read when the shard was acquired: any task of
-    /// an earlier leader may be on one of them.
+    /// Whether a machine record could not be read when the shard was acquired. Until
+    /// [`ShardState::previous_launches_until`], tasks of a previous leader may run on
+    /// that machine.
     pub unreadable_machines: bool,
-    /// Machines.
+    /// Machines that the shard commands.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Quotas of the limited teams in this shard.
+    /// This shard's quotas, for the teams that have a limit.
     pub quotas: QuotaRecord,
-    /// Until then a machine that has not reported may run tasks of the earlier leader.
+    /// Until this time, a machine that has not reported may run tasks that a previous
+    /// leader launched.
     pub previous_launches_until: MonotonicTime,
-    /// Slots in use in other shards as they report, by team.
+    /// Slots in use in all other shards, by team, as their digests report.
     pub usage_in_other_shards: BTreeMap<String, Slots>,
-    /// The cluster's zones.
+    /// All zones of the cluster.
     pub zones: Vec<String>,
-    /// Machine types that recent work could run on, in this shard and in others.
+    /// Sets of machine types that recently waiting work could use, in this and other
+    /// shards.
     pub machine_type_demand: MachineTypeDemand,
-    /// When heartbeats resumed after none had come for a while.
+    /// When heartbeats resumed after an interruption.
     pub resumption: Resumption,
-    /// While the shard recovers: holds back image fetches below production rank.
+    /// Limits image fetches below production rank while the shard recovers. `None` when
+    /// there is no such limit.
     pub fetch_gate: Option<FetchGate>,
-    /// Milliseconds to add to a time of day to get this process's time.
+    /// Milliseconds to add to the time of day to get this process's monotonic time.
     pub wall_clock_offset_ms: i64,
-    /// Tasks to launch on each machine in the answer to its next heartbeat.
+    /// Tasks to launch in the response to each machine's next heartbeat.
     pub(crate) planned_launches: BTreeMap<MachineId, Vec<TaskId>>,
-    /// When the plan was made. None: it must be made anew.
+    /// When the current plan was made. `None` if a new plan is needed.
     pub(crate) planned_at: Option<MonotonicTime>,
-    /// Jobs that may have something to commit.
+    /// Jobs that may have done tasks to commit.
     dirty_jobs: BTreeSet<JobId>,
-    /// Machines examined for jobs by all plans so far: the cost of planning.
+    /// How many times a machine was examined for a job, over all plans: the cost of
+    /// planning.
     pub candidates_examined: u64,
-    /// Attempts issued under the fencing token.
+    /// Number of attempts issued under the current fencing token.
     attempts_issued: u64,
-    /// Tasks first seen running since this was last asked for.
+    /// Tasks first seen running since the last [`ShardState::take_task_starts`].
     task_starts: Vec<TaskStart>,
-    /// Jobs that failed and have not been seen to run well since.
+    /// Jobs with a failed task that have not been seen running well since.
     failing_jobs: BTreeSet<JobId>,
-    /// What failures showed since this was last asked for.
+    /// Health changes since the last [`ShardState::take_health_events`].
     health_events: Vec<HealthEvent>,
 }
 
 impl ShardState {
-    /// An empty state under a new fencing token.
+    /// Creates the state of a shard that has just been acquired, without jobs or
+    /// machines.
     pub fn new(
         shard: ShardId,
         fencing_token: FencingToken,
@@ -136,7 +142,8 @@
         }
     }
 
-    /// Resources or work changed: the plan is made anew before the next launch.
+    /// Discards the current plan because resources or waiting work changed. A new plan
+    /// is made before the next launch.
     pub fn invalidate_plan(&mut self) {
         self.planned_at = None;
     }
--- a/crates/pulleywood-scheduler/src/shard/reachability.rs
+++ b/crates/pulleywood-scheduler/src/shard/reachability.rs
@@ -1,7 +1,7 @@
-//! Whether workers reach a leader.
+//! Detection of a leader that its workers cannot reach.
 //!
-//! Invariant: the silence of machines counts against the leader only if no machine of
-//! any of its shards has been heard lately, and enough of them should have been.
+//! Invariant: missing heartbeats count against the leader only if no machine of any of
+//! its shards has sent one recently and enough machines should have.
 
 use crate::config::Config;
 use crate::shard::ShardState;
@@ -9,56 +9,61 @@
 use pulleywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// Fewer machines than this may all be gone by chance.
+/// With fewer silent machines than this, all of them may have failed independently.
 const MIN_OVERDUE_MACHINES: usize = 3;
 
 impl ShardState {
-    /// Whether its workers cannot reach this leader: some machines have been in the
-    /// shard for long enough, and none of them has been heard. Were it the machines
-    /// that are gone, another leader would lose nothing by them.
+    /// Whether the shard's workers cannot reach this leader: several machines have been
+    /// in the shard for long enough, and none has sent a heartbeat. If the machines
+    /// were gone instead, another leader would lose nothing by taking over.
     pub fn is_unreachable(&self, now: MonotonicTime, config: &Config) -> bool {
-        let bound =
+        let threshold =
             (config.heartbeat_interval * 2 + Duration::from_secs(1)).max(config.lease.mul_f64(0.3));
-        self.heartbeats_overdue_for(bound, now, config)
+        self.heartbeats_overdue_for(threshold, now, config)
     }
 
-    /// Whether no machine was heard for this long, and for several of them it is not
-    /// yet two leases, after which they are gone in any case.
-    fn heartbeats_overdue_for(&self, bound: Duration, now: MonotonicTime, config: &Config) -> bool {
+    /// Whether no machine has sent a heartbeat for `threshold`, and for several of them
+    /// this has lasted less than two leases, after which they are gone in any case.
+    fn heartbeats_overdue_for(
+        &self,
+        threshold: Duration,
+        now: MonotonicTime,
+        config: &Config,
+    ) -> bool {
         let mut overdue = 0;
         for machine in self.machines.values() {
             if machine
                 .last_heartbeat_at
-                .is_some_and(|at| now.since(at) < bound)
+                .is_some_and(|at| now.since(at) < threshold)
             {
                 return false;
             }
-            // A machine that joined lately shows nothing yet. If it counted as heard,
-            // machines that are moved in every few seconds would hide that no worker
+            // A machine that was added recently is no evidence yet. If it counted as
+            // heard, machines moved in every few seconds would hide that no worker
             // reaches this leader.
             let silence = now.since(machine.last_heartbeat_at.unwrap_or(machine.added_at));
-            overdue += usize::from(silence >= bound && silence < config.lease * 2);
+            overdue += usize::from(silence >= threshold && silence < config.lease * 2);
         }
         overdue >= MIN_OVERDUE_MACHINES
     }
 }
 
-/// Whether workers reach a leader.
+/// Whether workers can reach a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// Some do, or there are too few machines to tell.
+    /// Some can, or there are too few machines to tell.
     Reachable,
-    /// None has been heard for longer than a heartbeat interval, so it may turn out
-    /// that none reaches it. Such a leader acquires no other shard, whose tasks would
-    /// wait for nothing.
+    /// No heartbeat has arrived for longer than a heartbeat interval, so the leader may
+    /// turn out to be unreachable. It acquires no further shard, whose tasks would only
+    /// wait.
     Uncertain,
-    /// None does.
+    /// No worker can reach the leader.
     Unreachable,
 }
 
-/// Whether workers reach the leader of these shards. If those of one shard do, the
-/// silence of another is not the leader's: that shard's machines are partitioned or
-/// gone.
+/// Whether workers can reach the leader of these shards. If the workers of one shard
+/// can, missing heartbeats in another are not the leader's fault: that shard's machines
+/// are partitioned or gone.
 pub fn reachability<'a>(
     shards: impl Iterator<Item = &'a ShardState> + Clone,
     now: MonotonicTime,
--- a/crates/pulleywood-scheduler/src/shard/reconcile.rs
+++ b/crates/pulleywood-scheduler/src/shard/reconcile.rs
@@ -1,9 +1,10 @@
-//! Squaring the attempts known on a machine with the list of tasks that its worker
-//! sent.
+//! Reconciles the known attempts on a machine with the task list of its worker's
+//! heartbeat.
 //!
-//! Invariants: a launch counts as perhaps running until a heartbeat sent after it
-//! lacks it; an attempt that this leader did not launch is kept if its job's task is
-//! this shard's and has no other attempt, and stopped otherwise.
+//! Invariants: a launched task counts as possibly running until a heartbeat that was
+//! sent after the launch does not list it; an attempt that this leader did not launch
+//! is kept if its task is assigned to this shard and has no other attempt, and stopped
+//! otherwise.
 
 use crate::config::Config;
 use crate::shard::ShardState;
@@ -13,33 +14,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A task was first seen running.
+/// Start of a task, reported when it is first seen running.
 #[derive(Debug, Clone)]
 pub struct TaskStart {
-    /// The task.
+    /// The task that started.
     pub task: TaskId,
-    /// Its job's class.
+    /// Class of the task's job.
     pub class: String,
-    /// From when its job was first seen here to its launch.
+    /// Time from when this leader first saw the job to the launch.
     pub queue_time: Duration,
-    /// From its launch to its run: mostly the time to fetch its image.
+    /// Time from the launch until the task was running; mostly spent fetching its
+    /// image.
     pub startup_time: Duration,
 }
 
-/// Attempts that a heartbeat lacks.
+/// Attempts that a heartbeat no longer lists.
 struct EndedAttempts {
     attempts: Vec<(TaskId, Attempt)>,
-    /// Some of them held resources until now.
+    /// Whether any of them held resources until now.
     freed_resources: bool,
 }
 
 impl ShardState {
-    /// Brings the attempts on a machine up to a trusted heartbeat. `reply`: it came in
-    /// reply to a direct command.
+    /// Updates the attempts on a machine from a trusted heartbeat. `is_reply`: the message
+    /// is the reply to a direct command.
     pub(super) fn reconcile(
         &mut self,
         heartbeat: &Heartbeat,
-        reply: bool,
+        is_reply: bool,
         now: MonotonicTime,
         config: &Config,
     ) {
@@ -52,18 +54,18 @@
             .get(&machine.record.flavor)
             .map_or(0.0, |f| f.cache_gb.0);
         let mut changed = false;
-        for seen in &heartbeat.tasks {
-            let known = machine.slot_index(&seen.task, seen.attempt);
+        for reported in &heartbeat.tasks {
+            let known = machine.slot_index(&reported.task, reported.attempt);
             changed |= known.is_none();
-            let at = known.unwrap_or_else(|| {
+            let slot_index = known.unwrap_or_else(|| {
                 machine
                     .slots
-                    .push(self.register_unknown_attempt(id, seen, now));
+                    .push(self.register_unknown_attempt(id, reported, now));
                 machine.slots.len() - 1
             });
-            changed |= self.update_slot(id, &mut machine, at, seen, now, cache_gb);
+            changed |= self.update_slot(id, &mut machine, slot_index, reported, now, cache_gb);
         }
-        let ended = machine.remove_unlisted(heartbeat, reply);
+        let ended = machine.remove_unlisted(heartbeat, is_reply);
         changed |= ended.freed_resources;
         for (task, attempt) in ended.attempts {
             self.end_attempt(&task, attempt);
@@ -75,52 +77,52 @@
         }
     }
 
-    /// A slot for an attempt that this leader did not launch: an earlier leader did,
-    /// or its job is over. It is stopped unless it becomes its task's active attempt,
-    /// or its job's record cannot be read.
+    /// Creates the slot of an attempt that this leader did not launch: a previous
+    /// leader did, or the attempt's job has ended. The attempt is stopped unless it
+    /// becomes its task's active attempt or its job's record cannot be read.
     fn register_unknown_attempt(
         &mut self,
         machine: &MachineId,
-        seen: &TaskStatus,
+        reported: &TaskStatus,
         now: MonotonicTime,
     ) -> Slot {
-        let unreadable = self.unreadable_jobs.contains(&seen.task.job);
+        let unreadable = self.unreadable_jobs.contains(&reported.task.job);
         let mut slot = Slot {
-            task: seen.task.clone(),
-            attempt: seen.attempt,
+            task: reported.task.clone(),
+            attempt: reported.attempt,
             state: SlotState::Fetching,
             spec: None,
             stop_grace_s: (!unreadable).then_some(0.0),
             created_at: now,
             running_since: None,
         };
-        let index = seen.task.index;
-        if let Some(job) = self.jobs.get_mut(&seen.task.job)
+        let index = reported.task.index;
+        if let Some(job) = self.jobs.get_mut(&reported.task.job)
             && job.assigned.contains(index)
         {
             slot.spec = Some(Arc::clone(&job.spec));
             let needed = !job.done.contains(index) && !job.active.contains_key(&index);
-            if seen.state != TaskState::Exited && needed {
-                job.mark_active(index, machine.clone(), seen.attempt);
+            if reported.state != TaskState::Exited && needed {
+                job.mark_active(index, machine.clone(), reported.attempt);
                 slot.stop_grace_s = None;
             }
         }
         slot
     }
 
-    /// Brings one slot up to what was reported. Returns whether resources were freed
-    /// or work to place changed.
+    /// Updates one slot from the reported status. Returns whether resources were freed
+    /// or the work to place changed.
     fn update_slot(
         &mut self,
         id: &MachineId,
         machine: &mut Machine,
-        at: usize,
-        seen: &TaskStatus,
+        slot_index: usize,
+        reported: &TaskStatus,
         now: MonotonicTime,
         cache_gb: f64,
     ) -> bool {
-        let slot = &mut machine.slots[at];
-        let state = reported_state(seen);
+        let slot = &mut machine.slots[slot_index];
+        let state = reported_state(reported);
         if slot.state == state {
             return false;
         }
@@ -138,11 +140,11 @@
         if !matches!(state, SlotState::Exited { .. }) {
             return false;
         }
-        self.handle_exit(id, machine, &slot, seen.cause, now);
+        self.handle_exit(id, machine, &slot, reported.cause, now);
         true
     }
 
-    /// Keeps how long a task took to start, for [`ShardState::take_started`].
+    /// Records how long a task took to start, for [`ShardState::take_task_starts`].
     fn record_task_start(&mut self, slot: &Slot, now: MonotonicTime) {
         if let Some(job) = self.jobs.get(&slot.task.job) {
             self.task_starts.push(TaskStart {
@@ -154,8 +156,8 @@
         }
     }
 
-    /// An attempt was first seen exited: what follows from the cause, and its task
-    /// waits again unless it is done.
+    /// Handles an attempt that was first seen exited: acts on the cause, and lets its
+    /// task wait again unless it is done.
     fn handle_exit(
         &mut self,
         id: &MachineId,
@@ -188,14 +190,14 @@
         self.end_attempt(task, slot.attempt);
     }
 
-    /// An attempt has surely ended; its task waits again unless it is done.
+    /// Records that an attempt has ended. Its task waits again unless it is done.
     pub(super) fn end_attempt(&mut self, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.end_attempt(task.index, attempt);
         }
     }
 
-    /// Tasks that were first seen running since the last call.
+    /// Returns the tasks that were first seen running since the last call.
     pub fn take_task_starts(&mut self) -> Vec<TaskStart> {
         std::mem::take(&mut self.task_starts)
     }
@@ -207,10 +209,11 @@
         self.slots.iter().position(same)
     }
 
-    /// Drops the slots that a heartbeat lacks, except launches that may still be
-    /// under way: those answered to this message or a later one, and, if it is a
-    /// reply, all of its incarnation, whose answers it may have overtaken.
-    fn remove_unlisted(&mut self, heartbeat: &Heartbeat, reply: bool) -> EndedAttempts {
+    /// Removes the slots that a heartbeat does not list, except launches that may still
+    /// be in flight. These are launches in the response to this message or a later one
+    /// and, if the message is a reply, all launches to the same incarnation, because
+    /// the reply may have overtaken their responses.
+    fn remove_unlisted(&mut self, heartbeat: &Heartbeat, is_reply: bool) -> EndedAttempts {
         let mut ended = EndedAttempts {
             attempts: Vec::new(),
             freed_resources: false,
@@ -218,9 +221,9 @@
         self.slots.retain(|slot| {
             let mut listed = heartbeat.tasks.iter();
             let keep = listed.any(|t| t.task == slot.task && t.attempt == slot.attempt)
-                || may_be_in_flight(slot.state, heartbeat, reply);
+                || may_be_in_flight(slot.state, heartbeat, is_reply);
             if !keep {
-                // An exited attempt held none any more.
+                // An exited attempt no longer held any.
                 ended.freed_resources |= slot.holds_resources();
                 ended.attempts.push((slot.task.clone(), slot.attempt));
             }
@@ -239,21 +242,21 @@
 }
 
 /// Whether a launch may reach the worker after it sent this message.
-fn may_be_in_flight(state: SlotState, heartbeat: &Heartbeat, reply: bool) -> bool {
+fn may_be_in_flight(state: SlotState, heartbeat: &Heartbeat, is_reply: bool) -> bool {
     let SlotState::Sent { incarnation, seq } = state else {
         return false;
     };
-    reply && incarnation == heartbeat.incarnation
+    is_reply && incarnation == heartbeat.incarnation
         || (heartbeat.incarnation, heartbeat.seq) <= (incarnation, seq)
 }
 
-fn reported_state(seen: &TaskStatus) -> SlotState {
-    match seen.state {
+fn reported_state(status: &TaskStatus) -> SlotState {
+    match status.state {
         TaskState::Fetching | TaskState::Gathering => SlotState::Fetching,
         TaskState::Running => SlotState::Running,
         TaskState::Saving => SlotState::Saving,
         TaskState::Exited => SlotState::Exited {
-            done: seen.cause == Some(Cause::Done),
+            done: status.cause == Some(Cause::Done),
         },
     }
 }
--- a/crates/pulleywood-scheduler/src/shard/resumption.rs
+++ b/crates/pulleywood-scheduler/src/shard/resumption.rs
@@ -1,31 +1,32 @@
-//! When heartbeats resumed after a leader could not answer its workers for a while.
+//! Detection of heartbeats that resume after a leader was unable to respond to its
+//! workers.
 
 use crate::config::Config;
 use pulleywood_protocol::MonotonicTime;
 use std::time::Duration;
 
-/// A worker that got no answer tries the next controller after this long.
+/// Time after which a worker that got no response tries the next controller.
 pub(super) const WORKER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Heartbeats stopped if none came for so many heartbeat intervals.
+/// Heartbeats count as interrupted if none arrived for this many heartbeat intervals.
 const SILENCE_INTERVALS: u32 = 2;
 
-/// Heartbeat intervals, besides [`NEXT_TRY`], within which a machine that is well is
-/// heard twice.
+/// Heartbeat intervals, in addition to [`WORKER_RETRY_DELAY`], within which a healthy
+/// machine sends two heartbeats.
 const TWO_HEARTBEATS_INTERVALS: f64 = 2.5;
 
-/// When heartbeats resumed after none had come from any machine for a while.
+/// When heartbeats resumed after none had arrived from any machine for a while.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resumption {
-    /// Preemptions wait for machines that may return. If not, nothing follows from the
-    /// rest.
+    /// Whether preemptions wait for machines that may return. If not, the other fields
+    /// have no effect.
     pub delays_preemption: bool,
     last_heartbeat: Option<MonotonicTime>,
     resumed_at: Option<MonotonicTime>,
 }
 
 impl Resumption {
-    /// A heartbeat came from any machine.
+    /// Records that a heartbeat arrived from some machine.
     pub(super) fn record_heartbeat(&mut self, now: MonotonicTime, config: &Config) {
         let silence = config.heartbeat_interval * SILENCE_INTERVALS;
         if self.last_heartbeat.is_none_or(|at| now.since(at) > silence) {
@@ -34,8 +35,9 @@
         self.last_heartbeat = Some(now);
     }
 
-    /// Whether machines that are well may not have been heard twice since heartbeats
-    /// resumed: the first one shows what they run, the next that answers reach them.
+    /// Whether heartbeats resumed so recently that healthy machines may not have sent
+    /// two since. The first shows what a machine runs, the second that responses reach
+    /// it.
     pub(super) fn is_recent(&self, now: MonotonicTime, config: &Config) -> bool {
         let window =
             config.heartbeat_interval.mul_f64(TWO_HEARTBEATS_INTERVALS) + WORKER_RETRY_DELAY;
--- a/crates/pulleywood-scheduler/src/shard/returning_machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/returning_machines.rs
@@ -1,5 +1,5 @@
-//! Machines that may return after a leader could not answer its workers: until they
-//! have, no task is preempted for one that they may have resources for.
+//! Machines that may return after a leader was unable to respond to its workers. Until
+//! they have, no task is preempted for one that may fit on them.
 
 use crate::config::Config;
 use crate::resources::ResourceVector;
@@ -8,17 +8,17 @@
 use crate::shard::resumption::WORKER_RETRY_DELAY;
 use pulleywood_protocol::{JobSpec, MonotonicTime};
 
-/// If more than one machine in so many missed its last answer, the answers were lost,
-/// rather than the machines being partitioned.
-const MISSED_SHARE: usize = 4;
+/// If more than one in this many machines missed its last response, the responses were
+/// lost; otherwise those machines are considered partitioned.
+const LOST_RESPONSES_RATIO: usize = 4;
 
-/// A machine that was not heard for so many heartbeat intervals, and [`NEXT_TRY`], may
-/// not have been heard since heartbeats resumed.
-const HEARD_LATELY_INTERVALS: f64 = 3.0;
+/// Heartbeat intervals, in addition to [`WORKER_RETRY_DELAY`], after which a silent
+/// machine may not have sent a heartbeat since heartbeats resumed.
+const RECENT_HEARTBEAT_INTERVALS: f64 = 3.0;
 
 impl ShardState {
-    /// Whether a task of a job may find resources on a machine that the planner does
-    /// not use yet, since its leader could not answer for a while.
+    /// Whether a task of a job may fit on a machine that the planner does not use yet
+    /// because its leader was unable to respond for a while.
     pub(crate) fn may_fit_returning_machine(
         &self,
         spec: &JobSpec,
@@ -28,25 +28,28 @@
         if !self.resumption.delays_preemption {
             return false;
         }
-        let resumed_lately = self.resumption.is_recent(now, config);
-        let missed_answer = |m: &&Machine| {
+        let resumed_recently = self.resumption.is_recent(now, config);
+        let missed_response = |m: &&Machine| {
             m.inbound_partitioned_since.is_some() && !m.is_inbound_partitioned(now, config)
         };
-        let missed_answers = self.machines.values().filter(missed_answer).count();
-        if !resumed_lately && missed_answers * MISSED_SHARE <= self.machines.len() {
+        let missed_responses = self.machines.values().filter(missed_response).count();
+        if !resumed_recently && missed_responses * LOST_RESPONSES_RATIO <= self.machines.len() {
             return false;
         }
-        let lately = config.heartbeat_interval.mul_f64(HEARD_LATELY_INTERVALS) + WORKER_RETRY_DELAY;
+        let recent = config
+            .heartbeat_interval
+            .mul_f64(RECENT_HEARTBEAT_INTERVALS)
+            + WORKER_RETRY_DELAY;
         let may_return = |m: &Machine| {
-            let heard = m.last_heartbeat_at.is_some_and(|at| now.since(at) < lately);
-            missed_answer(&m) || resumed_lately && !(m.confirmed && heard)
+            let heard = m.last_heartbeat_at.is_some_and(|at| now.since(at) < recent);
+            missed_response(&m) || resumed_recently && !(m.confirmed && heard)
         };
         let mut machines = self.machines.values();
         machines.any(|m| may_return(m) && may_have_resources(m, spec, now, config))
     }
 }
 
-/// Whether the machine could take one more task, as far as is known.
+/// Whether one more task would fit on the machine, as far as is known.
 fn may_have_resources(
     machine: &Machine,
     spec: &JobSpec,
--- a/crates/pulleywood-scheduler/src/shard/snapshot.rs
+++ b/crates/pulleywood-scheduler/src/shard/snapshot.rs
@@ -1,4 +1,4 @@
-//! A shard in numbers, for those who follow its recovery.
+//! Counts of a shard's machines and tasks, for tracking its recovery.
 
 use crate::config::Config;
 use crate::shard::machine::Machine;
@@ -6,41 +6,44 @@
 use pulleywood_protocol::{FencingToken, Rank, Shape, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A shard in numbers.
+/// Counts of a shard's machines and tasks at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardSnapshot {
-    /// The shard.
+    /// The shard that is described.
     pub shard: ShardId,
-    /// The fencing token under which its leader acquired it.
+    /// The fencing token under which the shard's leader acquired it.
     pub fencing_token: FencingToken,
-    /// Its machines.
+    /// Number of machines of the shard.
     pub machines: usize,
-    /// Machines whose heartbeats have shown the present fencing token.
+    /// Machines whose heartbeats have shown the current fencing token.
     pub confirmed: usize,
-    /// Machines that may run tasks of an earlier leader that this one has not seen.
+    /// Machines that may run tasks of a previous leader that have not been reported to
+    /// this one.
     pub unreported: usize,
-    /// Records of machines could not be read when the shard was acquired.
+    /// Whether a machine record could not be read when the shard was acquired, and
+    /// tasks of a previous leader may still run on that machine.
     pub unreadable_machines: bool,
     /// Attempts that hold resources of machines.
     pub running: usize,
-    /// Of which told to stop.
+    /// The part of `running` that was told to stop.
     pub stopping: usize,
     /// Done tasks that are not committed.
     pub uncommitted: usize,
-    /// Waiting tasks that an earlier leader may have launched.
+    /// Waiting tasks of jobs that a previous leader may have launched.
     pub inherited_waiting: usize,
-    /// Of which may still run on a machine that has not reported.
+    /// The part of `inherited_waiting` that may still run on a machine that has not
+    /// reported, and is therefore not launched.
     pub inherited_blocked: usize,
     /// Waiting replicas of services.
     pub waiting_replicas: usize,
-    /// Zones in which it has machines.
+    /// Zones in which the shard has machines.
     pub zones: BTreeSet<String>,
-    /// Attempts below production rank that fetch their image, by zone.
+    /// Attempts below production rank that are fetching their image, by zone.
     pub fetches_below_production: BTreeMap<String, usize>,
 }
 
 impl ShardState {
-    /// The shard in numbers.
+    /// Counts the shard's machines and tasks.
     pub fn snapshot(&self, config: &Config) -> ShardSnapshot {
         let mut snapshot = ShardSnapshot {
             shard: self.shard,
--- a/crates/pulleywood-scheduler/src/shard/transfer.rs
+++ b/crates/pulleywood-scheduler/src/shard/transfer.rs
@@ -1,9 +1,9 @@
-//! Transfers: waiting tasks that a shard offers to another.
+//! Transfers: waiting tasks that a shard offers to another one.
 //!
-//! Invariants: an offered task is not launched here until its offer is resolved, by
-//! the next revision of the job's record or because the offer surely was not stored;
-//! tasks that may run unseen are never offered; no zone gets more tasks of a spread
-//! job than its limit.
+//! Invariants: an offered task is not launched here until its offer is resolved, either
+//! by the next revision of the job's record or because the offer was certainly not
+//! stored; tasks that may run on an unreported machine are never offered; no zone gets
+//! more tasks of a spread job than its limit.
 
 use crate::config::Config;
 use crate::shard::{Job, ShardState};
@@ -12,32 +12,33 @@
 use pulleywood_protocol::record::TaskSet;
 use std::collections::BTreeMap;
 
-/// Tasks of one job on offer to another shard.
+/// Tasks of one job that are offered to another shard.
 #[derive(Debug)]
 pub struct TransferOffer {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// The zone they are bound to.
+    /// The zone that the tasks are bound to, if any.
     pub zone: Option<String>,
-    /// The tasks.
+    /// The offered tasks.
     pub tasks: TaskSet,
 }
 
-/// Most ranges of tasks that one offer adds to a record, which must stay small however
-/// scattered the tasks are.
+/// Maximum number of task ranges that one offer adds to a job's record, which must stay
+/// small even if the tasks are scattered.
 const MAX_RANGES: u32 = 40;
 
 impl ShardState {
-    /// Offers waiting tasks that match a demand, to transfer them: by job, at most as
-    /// many as the demand counts. The job submitted last is offered first.
-    pub fn offer_tasks(&mut self, like: &Demand, config: &Config) -> Vec<TransferOffer> {
-        let mut left = like.count;
-        let mut jobs = self.jobs_to_offer(like, config);
+    /// Offers waiting tasks that match a demand to another shard: at most as many as
+    /// the demand counts, starting with the job submitted last. Returns one offer per
+    /// job.
+    pub fn offer_tasks(&mut self, demand: &Demand, config: &Config) -> Vec<TransferOffer> {
+        let mut left = demand.count;
+        let mut jobs = self.jobs_to_offer(demand, config);
         let mut offers = Vec::new();
         while left > 0
             && let Some((_, id)) = jobs.pop()
         {
-            let Some(offer) = self.offer_of_job(&id, like, left) else {
+            let Some(offer) = self.offer_of_job(&id, demand, left) else {
                 continue;
             };
             left -= offer.tasks.len();
@@ -50,8 +51,8 @@
         offers
     }
 
-    /// Jobs that match a demand and may be offered, by time of submission.
-    fn jobs_to_offer(&self, like: &Demand, config: &Config) -> Vec<(u64, JobId)> {
+    /// Returns the jobs that match a demand and may be offered, in order of submission.
+    fn jobs_to_offer(&self, demand: &Demand, config: &Config) -> Vec<(u64, JobId)> {
         let mut jobs: Vec<(u64, JobId)> = self
             .jobs
             .iter()
@@ -61,7 +62,7 @@
                     && job.offered.is_empty()
                     && !job.health.is_broken()
                     && !self.may_run_on_unreported_machine(job, config)
-                    && like.matches(&job.spec)
+                    && demand.matches(&job.spec)
             })
             .map(|(id, job)| (job.submitted_at_ms, id.clone()))
             .collect();
@@ -69,21 +70,21 @@
         jobs
     }
 
-    /// At most so many waiting tasks of a job as an offer. None: it has none that fit
-    /// the demand's zones.
-    fn offer_of_job(&self, id: &JobId, like: &Demand, most: u32) -> Option<TransferOffer> {
+    /// Returns an offer of at max_tasks `max_tasks` waiting tasks of a job. `None` if no task
+    /// fits the demand's zones.
+    fn offer_of_job(&self, id: &JobId, demand: &Demand, max_tasks: u32) -> Option<TransferOffer> {
         let job = self.jobs.get(id)?;
         let spread = job.spec.spread && job.spec.tasks > 1;
-        let zone = match like.zones.as_slice() {
+        let zone = match demand.zones.as_slice() {
             [zone] if spread => Some(zone.clone()),
             _ if spread => return None,
             _ => None,
         };
-        let most = match &zone {
-            Some(zone) => most.min(self.zone_allowance(job, zone)),
-            None => most,
+        let max_tasks = match &zone {
+            Some(zone) => max_tasks.min(self.zone_allowance(job, zone)),
+            None => max_tasks,
         };
-        let tasks = tasks_to_offer(job, zone.as_ref(), most);
+        let tasks = tasks_to_offer(job, zone.as_ref(), max_tasks);
         (!tasks.is_empty()).then(|| TransferOffer {
             id: id.clone(),
             zone,
@@ -91,8 +92,8 @@
         })
     }
 
-    /// How many more tasks of a spread job its submitting shard may place in a zone.
-    /// Other shards were given tasks within that limit already.
+    /// How many more tasks of a spread job may be placed in a zone. Only the submitting
+    /// shard is restricted: other shards received their tasks within the limit.
     fn zone_allowance(&self, job: &Job, zone: &String) -> u32 {
         if job.submitting_shard != self.shard {
             return u32::MAX;
@@ -105,8 +106,9 @@
         job.spec.zone_limit().saturating_sub(placed)
     }
 
-    /// Tasks of a job by zone: those active here, and those bound to a zone in other
-    /// shards or offered to them. Empty if its tasks may run in any zones.
+    /// Number of a job's tasks by zone: those active here, and those that are bound to
+    /// a zone and were transferred or offered to other shards. Empty if the job's tasks
+    /// may run in any zones.
     pub(crate) fn task_counts_by_zone(&self, job: &Job) -> BTreeMap<String, u32> {
         let mut zones = BTreeMap::new();
         if !job.spec.one_zone && !job.spec.spread {
@@ -117,8 +119,8 @@
                 *zones.entry(machine.record.zone.clone()).or_insert(0) += 1;
             }
         }
-        for (zone, n) in &job.transferred_by_zone {
-            *zones.entry(zone.clone()).or_insert(0) += n;
+        for (zone, count) in &job.transferred_by_zone {
+            *zones.entry(zone.clone()).or_insert(0) += count;
         }
         if let Some(zone) = &job.offered_zone {
             *zones.entry(zone.clone()).or_insert(0) += job.offered.len();
@@ -126,7 +128,7 @@
         zones
     }
 
-    /// An offer was surely not stored: its tasks wait again.
+    /// Ends an offer that was certainly not stored. Its tasks wait again.
     pub fn withdraw_offer(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.resolve_offer();
@@ -134,8 +136,8 @@
         self.invalidate_plan();
     }
 
-    /// It is not known whether an offer was or will be stored: the job's record is
-    /// rewritten, which resolves it either way.
+    /// Marks an offer whose outcome is unknown: it may have been, or may yet be,
+    /// stored. The job's record is rewritten, which resolves the offer in either case.
     pub fn mark_offer_uncertain(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.needs_rewrite = true;
@@ -144,9 +146,10 @@
     }
 }
 
-/// The first waiting tasks of a job that may run in the zone, up to `most` tasks and
-/// [`MAX_RANGES`] ranges. A task that is bound to a zone already keeps it.
-fn tasks_to_offer(job: &Job, zone: Option<&String>, most: u32) -> TaskSet {
+/// Returns the first waiting tasks of a job that may run in the zone, up to `max_tasks`
+/// tasks and [`MAX_RANGES`] ranges. A task that is already bound to a zone stays bound
+/// to it.
+fn tasks_to_offer(job: &Job, zone: Option<&String>, max_tasks: u32) -> TaskSet {
     let fits = |index: u32| match (zone, job.zone_bindings.get(&index)) {
         (Some(zone), Some(bound)) => zone == bound,
         (None, Some(_)) => false,
@@ -157,7 +160,7 @@
     let mut previous = None;
     for index in job.waiting.iter().filter(|&i| fits(i)) {
         ranges += u32::from(previous != Some(index.wrapping_sub(1)));
-        if tasks.len() >= most || ranges > MAX_RANGES {
+        if tasks.len() >= max_tasks || ranges > MAX_RANGES {
             break;
         }
         previous = Some(index);
--- a/crates/pulleywood-scheduler/src/shard/unreported.rs
+++ b/crates/pulleywood-scheduler/src/shard/unreported.rs
@@ -1,7 +1,7 @@
 //! Machines that have not reported since this leader acquired the shard.
 //!
-//! Invariant: a job that an earlier leader may have launched waits while a machine
-//! that has not reported may run its tasks.
+//! Invariant: a job that a previous leader may have launched waits while a machine that
+//! has not reported may run its tasks.
 
 use crate::config::Config;
 use crate::shard::machine::Machine;
@@ -9,8 +9,8 @@
 use pulleywood_protocol::record::MachineRecord;
 
 impl ShardState {
-    /// Whether any machine may still run tasks of an earlier leader that this one has
-    /// not seen.
+    /// Whether any machine may still run tasks of a previous leader that have not been
+    /// reported to this one.
     pub fn is_rebuilding(&self) -> bool {
         self.unreadable_machines || self.machines.values().any(|m| m.unreported)
     }
--- a/crates/pulleywood-scheduler/src/shard/usage.rs
+++ b/crates/pulleywood-scheduler/src/shard/usage.rs
@@ -1,8 +1,7 @@
-//! What the shard's machines run, counted: slots in use by team and running tasks by
-//! job.
+//! Usage of the shard's machines: slots in use by team, and running tasks by job.
 //!
-//! Invariant: slots that may be in use count as in use, so that no team passes its
-//! limit by tasks that are not known yet.
+//! Invariant: slots that may be in use count as in use, so that no team exceeds its
+//! limit through tasks that are not known yet.
 
 use crate::config::Config;
 use crate::resources::{ResourceVector, add_slots};
@@ -13,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl ShardState {
-    /// Slots in use or perhaps in use by team. A machine whose tasks are not all
-    /// known counts in full against every limited team.
+    /// Slots that are or may be in use, by team. A machine with unknown tasks counts in
+    /// full against every team that has a limit.
     pub fn usage_by_team(&self, config: &Config) -> BTreeMap<String, Slots> {
-        // A list, as there are a few teams and thousands of slots.
+        // A list avoids a map lookup for each of thousands of slots; there are few teams.
         let mut by_team: Vec<(&str, Slots)> = Vec::new();
         let mut unknown = Slots::default();
         for machine in self.machines.values() {
@@ -30,7 +29,7 @@
                 }
             }
             if machine.unreported || machine.has_unknown_attempts() {
-                add_slots(&mut unknown, all_slots(machine, config));
+                add_slots(&mut unknown, slots_of_machine(machine, config));
             }
         }
         let by_team = by_team.into_iter();
@@ -45,7 +44,8 @@
         used
     }
 
-    /// Running tasks of all live jobs that have some, in one pass.
+    /// Number of running tasks of every live job with active tasks, counted in one
+    /// pass.
     pub fn running_tasks_by_job(&self) -> Vec<(JobId, u32)> {
         let mut counts: BTreeMap<&JobId, u32> = BTreeMap::new();
         for slot in self.machines.values().flat_map(|m| &m.slots) {
@@ -57,13 +57,14 @@
         counts.into_iter().map(|(id, n)| (id.clone(), n)).collect()
     }
 
-    /// Running tasks of a job.
+    /// Number of running tasks of a job; 0 if the job is unknown.
     pub fn running_tasks(&self, id: &JobId) -> u32 {
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
-        let on: BTreeSet<&MachineId> = job.active.values().map(|(m, _)| m).collect();
-        on.into_iter()
+        let machine_ids: BTreeSet<&MachineId> = job.active.values().map(|(m, _)| m).collect();
+        machine_ids
+            .into_iter()
             .filter_map(|m| self.machines.get(m))
             .flat_map(|m| &m.slots)
             .filter(|s| &s.task.job == id && is_running(s))
@@ -71,13 +72,13 @@
     }
 }
 
-/// A task counts as running while it saves.
+/// A task that is saving its state counts as running.
 fn is_running(slot: &Slot) -> bool {
     matches!(slot.state, SlotState::Running | SlotState::Saving)
 }
 
-/// All slots of a machine. One of an unknown type counts as more than any limit.
-fn all_slots(machine: &Machine, config: &Config) -> Slots {
+/// All slots of a machine. A machine of unknown type counts as more than any limit.
+fn slots_of_machine(machine: &Machine, config: &Config) -> Slots {
     const BEYOND_ANY_LIMIT: f64 = f64::MAX / 1e6;
     config
         .flavors
