--- a/crates/pulleywood-scheduler/tests/common/mod.rs
+++ b/crates/pulleywood-scheduler/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A small shard to test decisions on, and builders for what it is given.
+//! Harness with a small shard for tests of scheduling decisions, and builders of its
+//! inputs.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 use pulleywood_protocol::cbor::Amount;
@@ -17,7 +18,7 @@
 /// The shard under test.
 pub const SHARD: ShardId = ShardId(0);
 
-/// Slots of a team.
+/// Slots of a team, as numbers of processors and GPUs.
 pub fn slots(cpus: f64, gpus: f64) -> Slots {
     Slots {
         cpus: Amount(cpus),
@@ -25,8 +26,8 @@
     }
 }
 
-/// A cluster of one shard, two zones, two teams without limits and one machine type:
-/// `g4` has room for four tasks of [`spec`].
+/// A cluster of one shard, two zones, two teams without limits and one machine type,
+/// `g4`, which has room for four tasks of [`spec`].
 pub fn config() -> Config {
     let mut config = samples::config(1);
     let blue = config.teams["red"].clone();
@@ -37,30 +38,30 @@
     config
 }
 
-/// The array job `j-n`, whose tasks take 4 processors and a GPU each.
-pub fn spec(n: u64, tasks: u32) -> JobSpec {
-    samples::spec(job_id(n), tasks)
+/// The array job `j-N` of this number, whose tasks need 4 processors and 1 GPU each.
+pub fn spec(job_number: u64, tasks: u32) -> JobSpec {
+    samples::spec(job_id(job_number), tasks)
 }
 
-/// The id `j-n`.
-pub fn job_id(n: u64) -> JobId {
-    JobId::parse(&format!("j-{n}")).unwrap()
+/// The job id `j-N` of this number.
+pub fn job_id(number: u64) -> JobId {
+    JobId::parse(&format!("j-{number}")).unwrap()
 }
 
-/// So many seconds into the test.
-pub fn at(s: f64) -> MonotonicTime {
-    MonotonicTime(1_000_000 + (s * 1000.0) as u64)
+/// The time this many seconds after the start of the test.
+pub fn at(seconds: f64) -> MonotonicTime {
+    MonotonicTime(1_000_000 + (seconds * 1000.0) as u64)
 }
 
-/// A task of the job `j-n`.
-pub fn task(n: u64, index: u32) -> TaskId {
+/// The id of a task of the job `j-N` of this number.
+pub fn task(job_number: u64, index: u32) -> TaskId {
     TaskId {
-        job: job_id(n),
+        job: job_id(job_number),
         index,
     }
 }
 
-/// A shard's state with machines `m0`, `m1`, ... and its configuration.
+/// State of a shard with the machines `m0`, `m1` and so on, and its configuration.
 pub struct ShardHarness {
     pub config: Config,
     pub state: ShardState,
@@ -68,13 +69,13 @@
 }
 
 impl ShardHarness {
-    /// A shard that had no earlier leader, with a machine in each of these zones.
+    /// A shard without a previous leader, with one machine in each of `zones`.
     pub fn new(zones: &[&str]) -> ShardHarness {
         Self::acquired(zones, false, MonotonicTime(0))
     }
 
-    /// A shard taken over from another leader, which may have launched tasks on all of
-    /// its machines; the last of its launches end at `previous_launches_until`.
+    /// A shard taken over from another leader, which may have launched tasks on all its
+    /// machines. The last of these launches have ended by `previous_launches_until`.
     pub fn after_failover(zones: &[&str], previous_launches_until: MonotonicTime) -> ShardHarness {
         Self::acquired(zones, true, previous_launches_until)
     }
@@ -92,10 +93,10 @@
             previous_launches_until,
             config.zones.clone(),
         );
-        for (n, zone) in zones.iter().enumerate() {
+        for (index, zone) in zones.iter().enumerate() {
             let mut record = machine_record(SHARD);
             record.zone = (*zone).to_owned();
-            state.put_machine(&machine(n), record, Revision(1), inherited, at(0.0));
+            state.put_machine(&machine(index), record, Revision(1), inherited, at(0.0));
         }
         ShardHarness {
             config,
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Puts a job at the start of the test.
+    /// Adds a job at the start of the test. `maybe_launched_before`: a previous leader
+    /// may have launched tasks of it.
     pub fn submit(&mut self, spec: JobSpec, maybe_launched_before: bool) {
         let record = job_record(spec);
         self.state.put_job(
@@ -116,21 +118,21 @@
         );
     }
 
-    /// A heartbeat of machine `m` that has seen the present fencing token.
-    pub fn heartbeat(&self, m: usize, seq: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
-        self.heartbeat_under(m, seq, self.fencing_token, tasks)
+    /// A heartbeat of machine `machine_index` whose worker has seen the current fencing token.
+    pub fn heartbeat(&self, machine_index: usize, seq: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+        self.heartbeat_under(machine_index, seq, self.fencing_token, tasks)
     }
 
-    /// A heartbeat of machine `m` that has seen this fencing token.
+    /// A heartbeat of machine `machine_index` whose worker has seen this fencing token.
     pub fn heartbeat_under(
         &self,
-        m: usize,
+        machine_index: usize,
         seq: u64,
         fencing_token: FencingToken,
         tasks: Vec<TaskStatus>,
     ) -> Heartbeat {
         Heartbeat {
-            machine: machine(m),
+            machine: machine(machine_index),
             endpoint: "10.0.0.1:1".into(),
             flavor: "g4".into(),
             zone: "a".into(),
@@ -143,33 +145,34 @@
         }
     }
 
-    /// Takes a heartbeat without answering it.
-    pub fn take_heartbeat(&mut self, heartbeat: &Heartbeat, s: f64) -> HeartbeatOutcome {
+    /// Handles a heartbeat without responding to it.
+    pub fn take_heartbeat(&mut self, heartbeat: &Heartbeat, seconds: f64) -> HeartbeatOutcome {
         self.state
-            .handle_heartbeat(heartbeat, false, at(s), &self.config)
+            .handle_heartbeat(heartbeat, false, at(seconds), &self.config)
     }
 
-    /// Takes a heartbeat and answers it, launches allowed.
-    pub fn heartbeat_and_answer(&mut self, heartbeat: &Heartbeat, s: f64) -> Vec<Command> {
-        self.take_heartbeat(heartbeat, s);
+    /// Handles a heartbeat and returns the commands of the response, which may include
+    /// launches.
+    pub fn heartbeat_and_answer(&mut self, heartbeat: &Heartbeat, seconds: f64) -> Vec<Command> {
+        self.take_heartbeat(heartbeat, seconds);
         self.state
-            .response_commands(&heartbeat.machine, true, at(s), &self.config)
+            .response_commands(&heartbeat.machine, true, at(seconds), &self.config)
     }
 
-    /// The next batch of done tasks, of a shard without job batches.
-    pub fn batch(&self, shard_revision: Revision, s: f64) -> Option<Batch> {
+    /// Builds the next batch of done tasks of a shard that has no job batches.
+    pub fn batch(&self, shard_revision: Revision, seconds: f64) -> Option<Batch> {
         let job_batches = JobBatches::default();
         self.state
-            .next_batch(shard_revision, &job_batches, at(s), &self.config)
+            .next_batch(shard_revision, &job_batches, at(seconds), &self.config)
     }
 }
 
-/// The machine `mn`.
-pub fn machine(n: usize) -> MachineId {
-    MachineId::from(format!("m{n}").as_str())
+/// The id of the machine of this index: `m0`, `m1` and so on.
+pub fn machine(index: usize) -> MachineId {
+    MachineId::from(format!("m{index}").as_str())
 }
 
-/// Tasks launched by commands, with their attempts.
+/// The tasks that the commands launch, with their attempts.
 pub fn launches(commands: &[Command]) -> Vec<(TaskId, Attempt)> {
     commands
         .iter()
@@ -180,7 +183,7 @@
         .collect()
 }
 
-/// An attempt as a heartbeat lists it.
+/// The status of an attempt as a heartbeat lists it.
 pub fn status(task: &TaskId, attempt: Attempt, state: TaskState) -> TaskStatus {
     TaskStatus {
         task: task.clone(),
@@ -191,7 +194,7 @@
     }
 }
 
-/// An exited attempt as a heartbeat lists it.
+/// The status of an exited attempt as a heartbeat lists it.
 pub fn exited(task: &TaskId, attempt: Attempt, cause: Cause) -> TaskStatus {
     TaskStatus {
         cause: Some(cause),
--- a/crates/pulleywood-scheduler/tests/recovering.rs
+++ b/crates/pulleywood-scheduler/tests/recovering.rs
@@ -1,5 +1,5 @@
-//! A shard that recovers: its snapshot, whose images are fetched first, and when tasks
-//! are preempted.
+//! Tests of a recovering shard: its snapshot, the priority of image fetches, and the
+//! delay of preemptions.
 
 mod common;
 
@@ -42,46 +42,51 @@
 }
 
 #[test]
-fn no_image_is_fetched_below_production_where_a_service_fetches_its_own() {
-    // (the gate is shut, fetches left in the zone, the array's image is the
-    // service's, seconds, tasks of the array launched beside the replica)
+fn no_image_is_fetched_below_production_on_a_machine_that_fetches_for_a_service() {
+    // (whether the gate is closed, fetches left in the zone, whether the array job has
+    // the service's image, second, tasks of the array launched beside the replica)
     let cases = [
         (false, 0, false, 1.0, 2),
         (true, 9, false, 1.0, 0),
         (true, 9, true, 1.0, 2),
         (true, 9, false, 9.0, 2),
     ];
-    for (shut, left, same, s, launched) in cases {
+    for (closed, fetches_left, same_image, second, launched) in cases {
         let mut harness = ShardHarness::new(&["a"]);
         let mut service = spec(1, 1);
         (service.shape, service.rank) = (Shape::Service, Rank::Production);
         harness.submit(service, false);
         let mut array = spec(2, 2);
-        if !same {
+        if !same_image {
             array.image = "other".into();
         }
         harness.submit(array, false);
-        harness.state.fetch_gate = shut.then(|| FetchGate {
+        harness.state.fetch_gate = closed.then(|| FetchGate {
             ends_at: at(5.0),
-            remaining_by_zone: BTreeMap::from([("a".to_owned(), left)]),
+            remaining_by_zone: BTreeMap::from([("a".to_owned(), fetches_left)]),
         });
         let heartbeat = harness.heartbeat(0, 1, vec![]);
-        let commands = launches(&harness.heartbeat_and_answer(&heartbeat, s));
-        let of = |n| {
+        let commands = launches(&harness.heartbeat_and_answer(&heartbeat, second));
+        let launched_of = |job_number| {
             commands
                 .iter()
-                .filter(|(t, _)| t.job == task(n, 0).job)
+                .filter(|(t, _)| t.job == task(job_number, 0).job)
                 .count()
         };
-        assert_eq!(of(1), 1, "the replica is launched at once");
-        assert_eq!(of(2), launched, "{shut} {left} {same} {s}");
+        assert_eq!(launched_of(1), 1, "the replica is launched at once");
+        assert_eq!(
+            launched_of(2),
+            launched,
+            "{closed} {fetches_left} {same_image} {second}"
+        );
     }
 }
 
 #[test]
 fn preemption_waits_for_machines_that_are_about_to_return() {
-    // (preemption waits, seconds from the first heartbeat to the plan, machine 1 has free
-    // resources, seconds without any heartbeat before; a task of the array is stopped)
+    // (whether preemption is delayed, seconds from the first heartbeat to the plan,
+    // whether machine 1 has free resources, seconds without any heartbeat before,
+    // whether a task of the array job is stopped)
     let cases: [(bool, f64, bool, f64, bool); 5] = [
         (false, 0.5, true, 9.0, true),
         (true, 0.5, true, 9.0, false),
@@ -89,62 +94,68 @@
         (true, 3.6, true, 9.0, true),
         (true, 0.5, true, 1.0, true),
     ];
-    for (waits, s, room, silence, stopped) in cases {
+    for (delayed, plan_delay_s, has_free_resources, silence_s, stopped) in cases {
         let mut harness = ShardHarness::new(&["a", "a"]);
-        harness.state.resumption.delays_preemption = waits;
-        let tasks = if room { 4 } else { 8 };
+        harness.state.resumption.delays_preemption = delayed;
+        let tasks = if has_free_resources { 4 } else { 8 };
         harness.submit(spec(1, tasks), false);
-        let mut shown = Vec::new();
-        for m in 0..2 {
-            let heartbeat = harness.heartbeat(m, 1, vec![]);
+        let mut listed = Vec::new();
+        for index in 0..2 {
+            let heartbeat = harness.heartbeat(index, 1, vec![]);
             let commands = launches(&harness.heartbeat_and_answer(&heartbeat, 0.0));
             let running = commands
                 .iter()
                 .map(|(t, a)| status(t, *a, TaskState::Running));
-            shown.push(running.collect::<Vec<_>>());
+            listed.push(running.collect::<Vec<_>>());
         }
-        for n in 1..=5 {
-            let again = harness.heartbeat(0, 1 + n, shown[0].clone());
-            harness.heartbeat_and_answer(&again, n as f64);
+        for step in 1..=5 {
+            let again = harness.heartbeat(0, 1 + step, listed[0].clone());
+            harness.heartbeat_and_answer(&again, step as f64);
         }
         let mut service = spec(2, 1);
         (service.shape, service.rank) = (Shape::Service, Rank::Production);
         harness.submit(service, false);
-        // Machine 0 is heard first, twice; machine 1 not yet.
-        let first = harness.heartbeat(0, 7, shown[0].clone());
-        harness.heartbeat_and_answer(&first, 5.0 + silence);
+        // Machine 0 sends two heartbeats before machine 1 sends any.
+        let first = harness.heartbeat(0, 7, listed[0].clone());
+        harness.heartbeat_and_answer(&first, 5.0 + silence_s);
         let mut stops = 0;
-        for n in 1..=s.ceil() as u64 {
+        for step in 1..=plan_delay_s.ceil() as u64 {
             harness.state.invalidate_plan();
-            let next = harness.heartbeat(0, 7 + n, shown[0].clone());
-            let commands = harness.heartbeat_and_answer(&next, 5.0 + silence + s.min(n as f64));
+            let next = harness.heartbeat(0, 7 + step, listed[0].clone());
+            let commands = harness
+                .heartbeat_and_answer(&next, 5.0 + silence_s + plan_delay_s.min(step as f64));
             let stopped_tasks = commands
                 .iter()
-                .filter(|o| matches!(o, Command::Stop { .. }));
+                .filter(|command| matches!(command, Command::Stop { .. }));
             stops += stopped_tasks.count();
         }
-        assert_eq!(stops > 0, stopped, "{waits} {s} {room} {silence}");
+        assert_eq!(
+            stops > 0,
+            stopped,
+            "{delayed} {plan_delay_s} {has_free_resources} {silence_s}"
+        );
     }
 }
 
 #[test]
 fn image_fetches_below_production_are_bounded_by_zone() {
-    // (image of so many GB, fetches left, tasks launched on four machines)
-    for (gb, left, launched) in [(5.0, 0, 0), (5.0, 1, 4), (5.0, 3, 12), (0.0, 0, 16)] {
+    // (image size in GB, fetches left, tasks launched on four machines)
+    for (image_gb, fetches_left, launched) in [(5.0, 0, 0), (5.0, 1, 4), (5.0, 3, 12), (0.0, 0, 16)]
+    {
         let mut harness = ShardHarness::new(&["a", "a", "a", "a"]);
         let mut array = spec(1, 16);
-        array.image_gb = Amount(gb);
+        array.image_gb = Amount(image_gb);
         harness.submit(array, false);
         harness.state.fetch_gate = Some(FetchGate {
             ends_at: at(5.0),
-            remaining_by_zone: BTreeMap::from([("a".to_owned(), left)]),
+            remaining_by_zone: BTreeMap::from([("a".to_owned(), fetches_left)]),
         });
-        let mut all = 0;
-        for m in 0..4 {
-            let heartbeat = harness.heartbeat(m, 1, vec![]);
-            all += launches(&harness.heartbeat_and_answer(&heartbeat, 1.0)).len();
+        let mut launched_tasks = 0;
+        for index in 0..4 {
+            let heartbeat = harness.heartbeat(index, 1, vec![]);
+            launched_tasks += launches(&harness.heartbeat_and_answer(&heartbeat, 1.0)).len();
         }
-        // Tasks of one image share its fetch.
-        assert_eq!(all, launched, "{gb} {left}");
+        // Tasks with the same image share its fetch.
+        assert_eq!(launched_tasks, launched, "{image_gb} {fetches_left}");
     }
 }
--- a/crates/pulleywood-scheduler/tests/shard/done_batches.rs
+++ b/crates/pulleywood-scheduler/tests/shard/done_batches.rs
@@ -1,4 +1,4 @@
-//! When done tasks are committed, and when they are cleared.
+//! Tests of when done tasks are committed and cleared.
 
 use crate::common::*;
 use pulleywood_protocol::Revision;
@@ -10,23 +10,23 @@
     harness.submit(spec(1, 2), false);
     let first = harness.heartbeat(0, 1, vec![]);
     let launched = launches(&harness.heartbeat_and_answer(&first, 1.0));
-    let (t0, a0) = launched[0].clone();
-    let (t1, a1) = launched[1].clone();
+    let (done_task, done_attempt) = launched[0].clone();
+    let (running_task, running_attempt) = launched[1].clone();
     let clear = Command::Clear {
-        task: t0.clone(),
-        attempt: a0,
+        task: done_task.clone(),
+        attempt: done_attempt,
     };
-    let seen = |seq, harness: &mut ShardHarness| {
+    let both_listed = |seq, harness: &mut ShardHarness| {
         harness.heartbeat(
             0,
             seq,
             vec![
-                exited(&t0, a0, Cause::Done),
-                status(&t1, a1, TaskState::Running),
+                exited(&done_task, done_attempt, Cause::Done),
+                status(&running_task, running_attempt, TaskState::Running),
             ],
         )
     };
-    let heartbeat = seen(2, &mut harness);
+    let heartbeat = both_listed(2, &mut harness);
     assert!(
         !harness
             .heartbeat_and_answer(&heartbeat, 2.0)
@@ -41,10 +41,10 @@
             .compares
             .iter()
             .any(|c| c.path == "c/part/0" && c.revision == Revision(9)),
-        "a leader's write rests on its shard's revision"
+        "a leader's writes are conditioned on its shard's revision"
     );
     harness.state.mark_batch_committed(&batch, Revision(10));
-    let heartbeat = seen(3, &mut harness);
+    let heartbeat = both_listed(3, &mut harness);
     assert!(
         harness
             .heartbeat_and_answer(&heartbeat, 3.0)
@@ -55,12 +55,19 @@
 
 #[test]
 fn done_tasks_are_collected_until_their_commit_is_urgent() {
-    // A commit for each done task would use up the store's writes: users would be
-    // refused, and what ends a job would wait behind the rest.
-    // (case, tasks done of 4, seconds since, notice of the machine, committed)
+    // A commit per done task would use up the state service's write rate: users would
+    // be refused, and commits that complete a job would wait behind the rest.
+    // (case, done tasks out of 4, seconds since they were done, whether the cloud
+    // announced a reclaim, whether a batch is committed)
     let cases = [
         ("one of four", 1, 1.0, false, false),
-        ("one of four, for long", 1, 25.0, false, true),
+        (
+            "one of four, for longer than the maximum commit delay",
+            1,
+            25.0,
+            false,
+            true,
+        ),
         (
             "one of four, its machine is about to be reclaimed",
             1,
@@ -70,23 +77,26 @@
         ),
         ("all", 4, 0.1, false, true),
     ];
-    for (name, done, s, notice, recorded) in cases {
+    for (name, done, seconds, reclaim_notice, committed) in cases {
         let mut harness = ShardHarness::new(&["a"]);
         harness.submit(spec(1, 4), false);
         let first = harness.heartbeat(0, 1, vec![]);
         let launched = launches(&harness.heartbeat_and_answer(&first, 1.0));
-        let tasks = launched.iter().enumerate().map(|(n, (t, a))| {
-            if n < done {
-                exited(t, *a, Cause::Done)
-            } else {
-                status(t, *a, TaskState::Running)
-            }
-        });
+        let tasks = launched
+            .iter()
+            .enumerate()
+            .map(|(position, (task, attempt))| {
+                if position < done {
+                    exited(task, *attempt, Cause::Done)
+                } else {
+                    status(task, *attempt, TaskState::Running)
+                }
+            });
         let mut heartbeat = harness.heartbeat(0, 2, tasks.collect());
-        heartbeat.notice_s = notice.then_some(pulleywood_protocol::cbor::Amount(20.0));
+        heartbeat.notice_s = reclaim_notice.then_some(pulleywood_protocol::cbor::Amount(20.0));
         harness.heartbeat_and_answer(&heartbeat, 10.0);
         harness.state.tick(at(10.0), &harness.config);
-        let batch = harness.batch(Revision(9), 10.0 + s);
-        assert_eq!(batch.is_some(), recorded, "{name}");
+        let batch = harness.batch(Revision(9), 10.0 + seconds);
+        assert_eq!(batch.is_some(), committed, "{name}");
     }
 }
--- a/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
+++ b/crates/pulleywood-scheduler/tests/shard/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Which heartbeats count, inbound partitions, and leases that expire.
+//! Tests of heartbeat acceptance, inbound partitions and lease expiry.
 
 use crate::common::*;
 use pulleywood_protocol::FencingToken;
@@ -6,8 +6,8 @@
 use pulleywood_scheduler::shard::HeartbeatOutcome;
 
 #[test]
-fn tasks_of_a_machine_that_is_not_heard_wait_until_its_lease_has_expired() {
-    for (s, free) in [(5.0, false), (11.0, false), (11.5, true)] {
+fn tasks_of_a_silent_machine_wait_until_its_lease_has_expired() {
+    for (second, waiting) in [(5.0, false), (11.0, false), (11.5, true)] {
         let mut harness = ShardHarness::new(&["a"]);
         harness.submit(spec(1, 1), false);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
@@ -15,14 +15,14 @@
             launches(&harness.heartbeat_and_answer(&heartbeat, 1.0)).len(),
             1
         );
-        harness.state.tick(at(s), &harness.config);
+        harness.state.tick(at(second), &harness.config);
         let job = &harness.state.jobs[&task(1, 0).job];
-        assert_eq!(!job.waiting.is_empty(), free, "{s}");
+        assert_eq!(!job.waiting.is_empty(), waiting, "{second}");
     }
 }
 
 #[test]
-fn heartbeats_that_are_not_newer_are_stale() {
+fn heartbeats_that_are_not_newer_than_the_last_one_are_stale() {
     let mut harness = ShardHarness::new(&["a"]);
     let cases = [
         ((1, 5), HeartbeatOutcome::Accepted),
@@ -40,12 +40,13 @@
 }
 
 #[test]
-fn an_inbound_partitioned_machine_gets_no_launches_until_answers_arrive() {
-    // (what its next heartbeat shows, incarnation, number, tasks launched in the answer)
+fn an_inbound_partitioned_machine_gets_no_launches_until_a_response_arrives() {
+    // (what the next heartbeat shows, its incarnation and sequence number, tasks
+    // launched in the response to it)
     let cases = [
-        ("it received the answer", 1, 2, 1),
-        ("it tried other controllers in between", 1, 5, 0),
-        ("its lease expired in between", 2, 2, 0),
+        ("the worker received the response", 1, 2, 1),
+        ("the worker tried other controllers in between", 1, 5, 0),
+        ("the worker's lease expired in between", 2, 2, 0),
     ];
     for (name, incarnation, seq, expected) in cases {
         let mut harness = ShardHarness::new(&["a"]);
@@ -60,11 +61,11 @@
             "{name}"
         );
         if expected == 0 {
-            // It is used again once an answer has arrived.
-            let mut after = harness.heartbeat(0, seq + 1, vec![]);
-            after.incarnation = incarnation;
+            // Launches resume once the worker has received a response.
+            let mut following = harness.heartbeat(0, seq + 1, vec![]);
+            following.incarnation = incarnation;
             assert_eq!(
-                launches(&harness.heartbeat_and_answer(&after, 3.0)).len(),
+                launches(&harness.heartbeat_and_answer(&following, 3.0)).len(),
                 1,
                 "{name}"
             );
@@ -73,13 +74,13 @@
 }
 
 #[test]
-fn an_inbound_partitioned_machine_offers_no_resources_and_its_tasks_move_once_gone() {
+fn an_inbound_partitioned_machine_offers_no_resources_and_its_tasks_move_once_ended() {
     let mut harness = ShardHarness::new(&["a", "a"]);
     let idle = harness.heartbeat(0, 1, vec![]);
     harness.heartbeat_and_answer(&idle, 0.5);
     harness.submit(spec(1, 1), false);
-    // The launch is lost with its answer; the worker tries other controllers,
-    // and its lease runs out meanwhile.
+    // The launch is lost with its response. The worker tries other controllers, and its
+    // lease expires meanwhile.
     let second = harness.heartbeat(0, 2, vec![]);
     assert_eq!(
         launches(&harness.heartbeat_and_answer(&second, 1.0)).len(),
@@ -90,7 +91,7 @@
     let other = harness.heartbeat(1, 1, vec![]);
     assert!(
         launches(&harness.heartbeat_and_answer(&other, 6.0)).is_empty(),
-        "not yet gone"
+        "the task may still be running"
     );
     let third = harness.heartbeat(0, 5, vec![]);
     assert!(launches(&harness.heartbeat_and_answer(&third, 8.0)).is_empty());
@@ -100,7 +101,7 @@
     assert_eq!(
         free(&harness, 14.0),
         0.0,
-        "partitioned for longer than one lost answer explains"
+        "partitioned for longer than one lost response explains"
     );
     let other = harness.heartbeat(1, 2, vec![]);
     assert_eq!(
@@ -122,16 +123,16 @@
 }
 
 #[test]
-fn late_copies_of_heartbeats_neither_free_tasks_nor_extend_the_lease() {
+fn delayed_duplicates_of_heartbeats_neither_free_tasks_nor_extend_the_lease() {
     let mut harness = ShardHarness::new(&["a", "a"]);
     harness.submit(spec(1, 1), false);
     let first = harness.heartbeat(0, 1, vec![]);
-    let (t, a) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
-    let running = harness.heartbeat(0, 2, vec![status(&t, a, TaskState::Running)]);
+    let (task, attempt) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
+    let running = harness.heartbeat(0, 2, vec![status(&task, attempt, TaskState::Running)]);
     harness.heartbeat_and_answer(&running, 2.0);
-    // Copies of both come again: one lacks the task, one shows it.
-    for copy in [&first, &running] {
-        let outcome = harness.take_heartbeat(copy, 9.0);
+    // Duplicates of both heartbeats arrive: one does not list the task, one does.
+    for duplicate in [&first, &running] {
+        let outcome = harness.take_heartbeat(duplicate, 9.0);
         assert_eq!(outcome, HeartbeatOutcome::Stale);
     }
     assert_eq!(
@@ -141,16 +142,16 @@
     let other = harness.heartbeat(1, 1, vec![]);
     assert!(
         launches(&harness.heartbeat_and_answer(&other, 9.5)).is_empty(),
-        "not freed"
+        "the task is not freed"
     );
-    // Its lease expires counted from the heartbeat that was answered.
+    // The lease is counted from the last heartbeat that was answered.
     harness.state.tick(at(12.5), &harness.config);
     let other = harness.heartbeat(1, 2, vec![]);
     assert_eq!(
         launches(&harness.heartbeat_and_answer(&other, 12.6)).len(),
         1
     );
-    // A machine released meanwhile is not brought back by a copy.
+    // A duplicate does not bring back a machine that was released meanwhile.
     harness.state.remove_machine(&machine(0));
     let outcome = harness.take_heartbeat(&running, 30.0);
     assert_eq!(outcome, HeartbeatOutcome::Unknown);
--- a/crates/pulleywood-scheduler/tests/shard/launches.rs
+++ b/crates/pulleywood-scheduler/tests/shard/launches.rs
@@ -1,24 +1,30 @@
-//! What is launched and stopped in answers to heartbeats, and what counts as used.
+//! Tests of the commands in heartbeat responses and of the usage that counts against
+//! teams.
 
 use crate::common::*;
 use pulleywood_protocol::worker::{Cause, Command, TaskState};
 use pulleywood_protocol::{Revision, Shape};
 
 #[test]
-fn a_launch_counts_as_active_until_a_later_heartbeat_lacks_it() {
-    // (case, whether it is a reply, its number less that of the message before the
-    // answered heartbeat, whether the launch still counts)
+fn a_launch_counts_as_active_until_a_later_heartbeat_omits_it() {
+    // (case, whether the message is a reply, its sequence number minus that of the
+    // message before the answered heartbeat, whether the launch still counts)
     let cases = [
-        ("a newer heartbeat lacks it", false, 2, false),
+        ("a newer heartbeat omits it", false, 2, false),
         (
-            "a newer reply proves nothing: the answer may be under way",
+            "a newer reply omits it, but the response may be in flight",
             true,
             2,
             true,
         ),
-        ("an older heartbeat proves nothing", false, 0, true),
+        (
+            "an older heartbeat omits it, but was sent before the launch",
+            false,
+            0,
+            true,
+        ),
     ];
-    for (name, reply, after, counted) in cases {
+    for (name, is_reply, seq_offset, counted) in cases {
         let mut harness = ShardHarness::new(&["a"]);
         harness.submit(spec(1, 1), false);
         let first = harness.heartbeat(0, 10, vec![]);
@@ -27,10 +33,10 @@
             1,
             "{name}"
         );
-        let next = harness.heartbeat(0, 9 + after, vec![]);
+        let next = harness.heartbeat(0, 9 + seq_offset, vec![]);
         harness
             .state
-            .handle_heartbeat(&next, reply, at(2.0), &harness.config);
+            .handle_heartbeat(&next, is_reply, at(2.0), &harness.config);
         let job = &harness.state.jobs[&task(1, 0).job];
         assert_eq!(job.waiting.is_empty(), counted, "{name}");
     }
@@ -38,21 +44,25 @@
 
 #[test]
 fn the_end_of_an_attempt_does_not_free_a_newer_attempt_of_the_task() {
-    // A stopped task is launched again on the same machine, which then clears its
-    // first attempt while the second one runs.
+    // A stopped task is launched again on the same machine, which then clears the first
+    // attempt while the second one runs.
     let mut harness = ShardHarness::new(&["a", "a"]);
     harness.submit(spec(1, 1), false);
     let first = harness.heartbeat(0, 1, vec![]);
-    let (t, first_attempt) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
-    let stopped = harness.heartbeat(0, 2, vec![exited(&t, first_attempt, Cause::Stopped)]);
+    let (task, first_attempt) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
+    let stopped = harness.heartbeat(0, 2, vec![exited(&task, first_attempt, Cause::Stopped)]);
     let commands = harness.heartbeat_and_answer(&stopped, 2.0);
     let (_, second_attempt) = launches(&commands)[0].clone();
     assert_ne!(first_attempt, second_attempt, "attempts are never reused");
     assert!(commands.contains(&Command::Clear {
-        task: t.clone(),
+        task: task.clone(),
         attempt: first_attempt
     }));
-    let cleared = harness.heartbeat(0, 3, vec![status(&t, second_attempt, TaskState::Running)]);
+    let cleared = harness.heartbeat(
+        0,
+        3,
+        vec![status(&task, second_attempt, TaskState::Running)],
+    );
     harness.heartbeat_and_answer(&cleared, 3.0);
     let other = harness.heartbeat(1, 1, vec![]);
     assert!(launches(&harness.heartbeat_and_answer(&other, 4.0)).is_empty());
@@ -65,31 +75,31 @@
         ("past the local end of the lease", false, "10.0.0.1:1", 0),
         ("record without address", true, "", 0),
     ];
-    for (name, lease, endpoint, expected) in cases {
+    for (name, may_launch, endpoint, expected) in cases {
         let mut harness = ShardHarness::new(&["a"]);
-        let m = harness.state.machines.get_mut(&machine(0)).unwrap();
-        m.record.endpoint = endpoint.into();
+        let machine_state = harness.state.machines.get_mut(&machine(0)).unwrap();
+        machine_state.record.endpoint = endpoint.into();
         harness.submit(spec(1, 1), false);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
         harness.take_heartbeat(&heartbeat, 1.0);
         let commands =
             harness
                 .state
-                .response_commands(&machine(0), lease, at(1.0), &harness.config);
+                .response_commands(&machine(0), may_launch, at(1.0), &harness.config);
         assert_eq!(launches(&commands).len(), expected, "{name}");
     }
 }
 
 #[test]
-fn attempts_of_an_ended_job_are_stopped_and_count_as_used_until_gone() {
+fn attempts_of_an_ended_job_are_stopped_and_count_as_used_until_a_heartbeat_omits_them() {
     let mut harness = ShardHarness::new(&["a"]);
     harness.submit(spec(1, 1), false);
     let first = harness.heartbeat(0, 1, vec![]);
-    let (t, a) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
-    harness.state.remove_job(&t.job);
+    let (task, attempt) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
+    harness.state.remove_job(&task.job);
     let stop = Command::Stop {
-        task: t.clone(),
-        attempt: a,
+        task: task.clone(),
+        attempt,
         leeway_s: 0.0,
     };
     assert_eq!(
@@ -100,10 +110,10 @@
         harness.state.usage_by_team(&harness.config)["red"],
         slots(4.0, 1.0)
     );
-    let running = harness.heartbeat(0, 2, vec![status(&t, a, TaskState::Running)]);
+    let running = harness.heartbeat(0, 2, vec![status(&task, attempt, TaskState::Running)]);
     assert_eq!(harness.heartbeat_and_answer(&running, 2.0), [stop]);
-    let gone = harness.heartbeat(0, 3, vec![]);
-    harness.heartbeat_and_answer(&gone, 3.0);
+    let omitting = harness.heartbeat(0, 3, vec![]);
+    harness.heartbeat_and_answer(&omitting, 3.0);
     assert!(
         !harness
             .state
@@ -116,7 +126,7 @@
 fn quotas_bound_launches_and_a_limit_of_zero_means_no_limit() {
     let cases = [
         ("no limit, no quota", slots(0.0, 0.0), None, 4),
-        ("limited, not granted", slots(0.0, 2.0), None, 0),
+        ("limited, without a quota", slots(0.0, 2.0), None, 0),
         ("limited by GPUs", slots(0.0, 9.0), Some(slots(0.0, 3.0)), 3),
         (
             "limited by processors",
@@ -148,8 +158,8 @@
     service.shape = Shape::Service;
     harness.submit(service, false);
     let first = harness.heartbeat(0, 1, vec![]);
-    let (t, a) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
-    let ended = harness.heartbeat(0, 2, vec![exited(&t, a, Cause::Done)]);
+    let (task, attempt) = launches(&harness.heartbeat_and_answer(&first, 1.0))[0].clone();
+    let ended = harness.heartbeat(0, 2, vec![exited(&task, attempt, Cause::Done)]);
     let commands = harness.heartbeat_and_answer(&ended, 2.0);
     assert_eq!(launches(&commands).len(), 1);
     assert!(harness.batch(Revision(1), 60.0).is_none());
@@ -157,8 +167,8 @@
 
 #[test]
 fn nothing_of_a_job_is_launched_while_it_is_being_cancelled() {
-    // (a cancellation is announced, when its machine reports, launches). The
-    // announcement holds launches back for a while and ends nothing, as the
+    // (whether a cancellation is announced, second of the machine's heartbeat,
+    // launches). The announcement only delays launches and ends nothing, because the
     // cancellation may fail.
     let cases = [
         (false, 2.0, 1),
@@ -166,24 +176,29 @@
         (true, 6.9, 0),
         (true, 7.1, 1),
     ];
-    for (reported, s, expected) in cases {
+    for (announced, second, expected) in cases {
         for planned_before in [false, true] {
             let mut harness = ShardHarness::new(&["a", "a"]);
             harness.submit(spec(1, 1), false);
             if planned_before {
-                // A plan gives its task to a machine that has yet to report.
+                // The plan assigns the task to a machine that has not sent its next
+                // heartbeat yet.
                 let other = harness.heartbeat(1, 1, vec![]);
                 harness.take_heartbeat(&other, 1.0);
                 harness
                     .state
                     .response_commands(&machine(0), true, at(1.0), &harness.config);
             }
-            if reported {
+            if announced {
                 harness.state.hold_for_cancellation(&spec(1, 1).id, at(7.0));
             }
             let heartbeat = harness.heartbeat(1, 2, vec![]);
-            let commands = harness.heartbeat_and_answer(&heartbeat, s);
-            assert_eq!(launches(&commands).len(), expected, "{reported} at {s}");
+            let commands = harness.heartbeat_and_answer(&heartbeat, second);
+            assert_eq!(
+                launches(&commands).len(),
+                expected,
+                "{announced} at {second}"
+            );
             assert!(harness.state.jobs.contains_key(&spec(1, 1).id));
         }
     }
--- a/crates/pulleywood-scheduler/tests/shard/main.rs
+++ b/crates/pulleywood-scheduler/tests/shard/main.rs
@@ -1,4 +1,4 @@
-//! The invariants of a shard's state.
+//! Tests of the invariants of a shard's state.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/pulleywood-scheduler/tests/unreadable.rs
+++ b/crates/pulleywood-scheduler/tests/unreadable.rs
@@ -1,4 +1,4 @@
-//! Records of jobs and machines that cannot be read.
+//! Tests of job and machine records that cannot be read.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use pulleywood_protocol::{Attempt, JobId, MonotonicTime, Revision};
 use std::time::Duration;
 
-fn id(n: u64) -> JobId {
-    JobId::parse(&format!("j-{n}")).unwrap()
+fn id(number: u64) -> JobId {
+    JobId::parse(&format!("j-{number}")).unwrap()
 }
 
 #[test]
@@ -21,21 +21,21 @@
     assert_eq!(harness.heartbeat_and_answer(&heartbeat, 1.0), []);
     assert!(
         harness.state.machines[&machine(0)].has_unknown_attempts(),
-        "nobody knows what it takes: the machine counts in full"
+        "the job's needs are unknown, so it counts as holding the whole machine"
     );
-    // Its record is gone: it was cancelled, or ended elsewhere.
+    // The job's record is gone: the job was cancelled, or ended in another shard.
     harness.state.remove_job(&id(1));
     let heartbeat = harness.heartbeat(0, 2, vec![running.clone(), done.clone()]);
     let commands = harness.heartbeat_and_answer(&heartbeat, 2.0);
     assert!(
         commands
             .iter()
-            .any(|o| matches!(o, Command::Stop { task, .. } if *task == running.task))
+            .any(|command| matches!(command, Command::Stop { task, .. } if *task == running.task))
     );
     assert!(
         commands
             .iter()
-            .any(|o| matches!(o, Command::Clear { task, .. } if *task == done.task))
+            .any(|command| matches!(command, Command::Clear { task, .. } if *task == done.task))
     );
 }
 
@@ -61,7 +61,7 @@
     assert_eq!(
         harness.heartbeat_and_answer(&heartbeat, 2.0),
         [],
-        "none starts elsewhere"
+        "none is launched on another machine"
     );
     let again = job_record(spec(1, 4));
     harness
@@ -84,15 +84,15 @@
     assert_eq!(
         harness.heartbeat_and_answer(&heartbeat, 2.0),
         [],
-        "neither stopped nor started again"
+        "neither stopped nor launched again"
     );
     assert!(harness.state.jobs[&id(1)].active.contains_key(&0));
 }
 
 #[test]
-fn older_jobs_wait_while_an_unreadable_machine_may_run_them() {
-    // (the record of a machine could not be read, the job is older, seconds since
-    // failover, launched)
+fn inherited_jobs_wait_while_an_unreadable_machine_may_run_them() {
+    // (whether a machine record could not be read, whether a previous leader may have
+    // launched the job, seconds since failover, whether its task is launched)
     let previous_launches_until: MonotonicTime = at(0.0) + Duration::from_secs(20);
     let cases = [
         (false, true, 1.0, true),
@@ -101,17 +101,17 @@
         (true, true, 19.0, false),
         (true, true, 20.5, true),
     ];
-    for (unreadable, maybe_launched_before, s, launched) in cases {
+    for (unreadable, maybe_launched_before, second, launched) in cases {
         let mut harness = ShardHarness::after_failover(&["a"], previous_launches_until);
         harness.state.unreadable_machines = unreadable;
         harness.submit(spec(1, 1), maybe_launched_before);
-        harness.state.tick(at(s), &harness.config);
+        harness.state.tick(at(second), &harness.config);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
-        let commands = launches(&harness.heartbeat_and_answer(&heartbeat, s));
+        let commands = launches(&harness.heartbeat_and_answer(&heartbeat, second));
         assert_eq!(
             !commands.is_empty(),
             launched,
-            "{unreadable} {maybe_launched_before} {s}"
+            "{unreadable} {maybe_launched_before} {second}"
         );
     }
 }
