--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -58,7 +58,7 @@
 struct AcceptedWork {
     at: MonotonicTime,
     shard: ShardId,
-    /// As [`shard_selection::size`] measures it.
+    /// As [`shard_selection::size_in_machines`] measures it.
     size: f64,
 }
 
--- a/crates/pulleywood-scheduler/src/quota.rs
+++ b/crates/pulleywood-scheduler/src/quota.rs
@@ -238,8 +238,8 @@
     }
 }
 
-/// Returns a shard's record after shrinking its quotas to `target`, but not below what is
-/// in use, or `None` if nothing changes. No quota grows.
+/// Returns a shard's record after shrinking its quotas to `target`, but not below what
+/// is in use, or `None` if nothing changes. No quota grows.
 pub fn shrunk_record(
     record: &QuotaRecord,
     target: &BTreeMap<String, Slots>,
--- a/crates/pulleywood-scheduler/src/shard/digest.rs
+++ b/crates/pulleywood-scheduler/src/shard/digest.rs
@@ -200,14 +200,14 @@
         if spec.one_zone {
             return vec![(placed.into_keys().collect(), waiting)];
         }
-        let counts = self.spread_waiting_tasks(job, &placed).into_iter();
+        let counts = self.spread_task_counts(job, &placed).into_iter();
         counts.map(|(zone, n)| (vec![zone], n)).collect()
     }
 
     /// Number of a spread job's waiting tasks by zone. Bound tasks count in their
     /// zones, the others where most are still allowed besides those already `placed`.
     /// Tasks beyond all zone limits are left out.
-    fn spread_waiting_tasks(
+    fn spread_task_counts(
         &self,
         job: &Job,
         placed: &BTreeMap<String, u32>,
@@ -280,13 +280,13 @@
 
 /// Adds tasks to the entry of the same shape, or as a new entry.
 fn add_demand(demand: &mut Vec<Demand>, item: Demand) {
-    let Some(same) = demand.iter_mut().find(|d| same_shape(d, &item)) else {
+    let Some(existing) = demand.iter_mut().find(|d| same_shape(d, &item)) else {
         demand.push(item);
         return;
     };
-    let (before, more) = (f64::from(same.count), f64::from(item.count));
-    same.work_s = (same.work_s * before + item.work_s * more) / (before + more);
-    same.count += item.count;
+    let (before, more) = (f64::from(existing.count), f64::from(item.count));
+    existing.work_s = (existing.work_s * before + item.work_s * more) / (before + more);
+    existing.count += item.count;
 }
 
 /// Whether two demands differ only in task count and work.
--- a/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
+++ b/crates/pulleywood-scheduler/src/shard/failure_attribution.rs
@@ -22,8 +22,8 @@
 const MIN_SUCCESSFUL_RUN: Duration = Duration::from_secs(5);
 
 impl ShardState {
-    /// Records that a task of a job failed after running for `run_time`. The machine is not
-    /// in `machines` during this call.
+    /// Records that a task of a job failed after running for `run_time`. The machine is
+    /// not in `machines` during this call.
     pub(super) fn record_task_failure(
         &mut self,
         id: &JobId,
--- a/crates/pulleywood-scheduler/src/shard/health.rs
+++ b/crates/pulleywood-scheduler/src/shard/health.rs
@@ -36,8 +36,8 @@
 }
 
 impl Health {
-    /// Records that a task failed on a machine after running for `run_time`. Returns whether
-    /// this made the job broken.
+    /// Records that a task failed on a machine after running for `run_time`. Returns
+    /// whether this made the job broken.
     pub(super) fn record_failure(
         &mut self,
         machine: &MachineId,
--- a/crates/pulleywood-scheduler/src/shard/launch.rs
+++ b/crates/pulleywood-scheduler/src/shard/launch.rs
@@ -17,8 +17,8 @@
 
 impl ShardState {
     /// Returns the commands for a machine whose heartbeat has just been accepted.
-    /// `may_launch`: the controller's lease lasts at least until the response is sent, so
-    /// tasks may be launched.
+    /// `may_launch`: the controller's lease lasts at least until the response is sent,
+    /// so tasks may be launched.
     pub fn response_commands(
         &mut self,
         id: &MachineId,
@@ -48,7 +48,7 @@
             machine,
             jobs: &mut self.jobs,
             fetch_gate: &mut self.fetch_gate,
-            attempts: &mut self.attempts_issued,
+            attempts_issued: &mut self.attempts_issued,
             now,
         };
         for task in planned {
@@ -100,7 +100,7 @@
     jobs: &'a mut BTreeMap<JobId, Job>,
     fetch_gate: &'a mut Option<FetchGate>,
     /// Number of attempts issued under the fencing token.
-    attempts: &'a mut u64,
+    attempts_issued: &'a mut u64,
     now: MonotonicTime,
 }
 
@@ -120,7 +120,7 @@
         }
         let gang_attempt = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
         let Some(attempt) =
-            gang_attempt.or_else(|| next_attempt(self.fencing_token, self.attempts))
+            gang_attempt.or_else(|| next_attempt(self.fencing_token, self.attempts_issued))
         else {
             return LaunchOutcome::AttemptsExhausted;
         };
--- a/crates/pulleywood-scheduler/src/shard/machine.rs
+++ b/crates/pulleywood-scheduler/src/shard/machine.rs
@@ -16,8 +16,8 @@
 /// Last known state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
-    /// The launch command was sent in the response to this heartbeat and may not have
-    /// arrived.
+    /// The launch command may have been sent in the response to this heartbeat. No
+    /// heartbeat has listed the attempt yet.
     Sent {
         /// Incarnation of the worker that sent the heartbeat.
         incarnation: u64,
--- a/crates/pulleywood-scheduler/src/shard/reconcile.rs
+++ b/crates/pulleywood-scheduler/src/shard/reconcile.rs
@@ -36,8 +36,8 @@
 }
 
 impl ShardState {
-    /// Updates the attempts on a machine from a trusted heartbeat. `is_reply`: the message
-    /// is the reply to a direct command.
+    /// Updates the attempts on a machine from a trusted heartbeat. `is_reply`: the
+    /// message is the reply to a direct command.
     pub(super) fn reconcile(
         &mut self,
         heartbeat: &Heartbeat,
@@ -166,10 +166,10 @@
         cause: Option<Cause>,
         now: MonotonicTime,
     ) {
-        let (task, launched) = (&slot.task, slot.created_at);
+        let (task, launched_at) = (&slot.task, slot.created_at);
         match cause {
             Some(Cause::Done) => {
-                machine.failed_jobs.retain(|_, at| *at > launched);
+                machine.failed_jobs.retain(|_, at| *at > launched_at);
                 if let Some(job) = self.jobs.get_mut(&task.job)
                     && job.mark_done(task.index, now)
                 {
@@ -177,8 +177,8 @@
                 }
             }
             Some(Cause::Error) => {
-                let ran = slot.running_since.map(|at| now.since(at));
-                self.record_task_failure(&task.job, id, ran.unwrap_or_default(), now);
+                let run_time = slot.running_since.map(|at| now.since(at));
+                self.record_task_failure(&task.job, id, run_time.unwrap_or_default(), now);
             }
             Some(Cause::NoSuch) => {
                 if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/crates/pulleywood-scheduler/src/shard/transfer.rs
+++ b/crates/pulleywood-scheduler/src/shard/transfer.rs
@@ -32,16 +32,16 @@
     /// the demand counts, starting with the job submitted last. Returns one offer per
     /// job.
     pub fn offer_tasks(&mut self, demand: &Demand, config: &Config) -> Vec<TransferOffer> {
-        let mut left = demand.count;
+        let mut remaining = demand.count;
         let mut jobs = self.jobs_to_offer(demand, config);
         let mut offers = Vec::new();
-        while left > 0
+        while remaining > 0
             && let Some((_, id)) = jobs.pop()
         {
-            let Some(offer) = self.offer_of_job(&id, demand, left) else {
+            let Some(offer) = self.offer_of_job(&id, demand, remaining) else {
                 continue;
             };
-            left -= offer.tasks.len();
+            remaining -= offer.tasks.len();
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.mark_offered(offer.tasks.clone(), offer.zone.clone());
             }
@@ -70,8 +70,8 @@
         jobs
     }
 
-    /// Returns an offer of at max_tasks `max_tasks` waiting tasks of a job. `None` if no task
-    /// fits the demand's zones.
+    /// Returns an offer of at most `max_tasks` waiting tasks of a job. `None` if
+    /// no task fits the demand's zones.
     fn offer_of_job(&self, id: &JobId, demand: &Demand, max_tasks: u32) -> Option<TransferOffer> {
         let job = self.jobs.get(id)?;
         let spread = job.spec.spread && job.spec.tasks > 1;
--- a/crates/pulleywood-scheduler/src/shard/usage.rs
+++ b/crates/pulleywood-scheduler/src/shard/usage.rs
@@ -15,7 +15,8 @@
     /// Slots that are or may be in use, by team. A machine with unknown tasks counts in
     /// full against every team that has a limit.
     pub fn usage_by_team(&self, config: &Config) -> BTreeMap<String, Slots> {
-        // A list avoids a map lookup for each of thousands of slots; there are few teams.
+        // A list avoids a map lookup for each of thousands of slots; there are few
+        // teams.
         let mut by_team: Vec<(&str, Slots)> = Vec::new();
         let mut unknown = Slots::default();
         for machine in self.machines.values() {
--- a/crates/pulleywood-scheduler/tests/common/mod.rs
+++ b/crates/pulleywood-scheduler/tests/common/mod.rs
@@ -118,7 +118,8 @@
         );
     }
 
-    /// A heartbeat of machine `machine_index` whose worker has seen the current fencing token.
+    /// A heartbeat of machine `machine_index` whose worker has seen the current fencing
+    /// token.
     pub fn heartbeat(&self, machine_index: usize, seq: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
         self.heartbeat_under(machine_index, seq, self.fencing_token, tasks)
     }
