--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -53,7 +53,7 @@
         .iter()
         .map(|(shard, quota)| (*shard, quota.value.clone()))
         .collect();
-    let digests = controller.all_shards(now).into_iter();
+    let digests = controller.fresh_shard_digests(now).into_iter();
     let needs = digests
         .map(|(shard, digest)| (shard, needs(&digest)))
         .collect();
