--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -106,7 +106,7 @@
         let controller = self.controller;
         let shard = controller
             .config
-            .shard_for(&heartbeat.machine, &heartbeat.zone);
+            .registering_shard(&heartbeat.machine, &heartbeat.zone);
         if let Some(holder) = controller.cached.shard_leaders.get(&shard)
             && holder.value.member != self.context.controller_id
             && let Route::Redirect(member) = self.redirect(&holder.value.member)
@@ -169,8 +169,8 @@
     let Some(led) = controller.led_shards.get_mut(&shard) else {
         return Response::retry_later(503, 1);
     };
-    match led.state.heartbeat(heartbeat, false, now, &config) {
-        HeartbeatOutcome::Fresh => {}
+    match led.state.handle_heartbeat(heartbeat, false, now, &config) {
+        HeartbeatOutcome::Accepted => {}
         // Its worker obeys another leader and is to look for it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
@@ -187,7 +187,9 @@
             return Response::retry_later(503, 1);
         }
     }
-    let commands = led.state.answer(&heartbeat.machine, launch, now, &config);
+    let commands = led
+        .state
+        .response_commands(&heartbeat.machine, launch, now, &config);
     let Some(machine) = led.state.machines.get(&heartbeat.machine) else {
         return Response::retry_later(503, 1);
     };
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -125,7 +125,7 @@
         .when(quota_key(shard), quota_revision.unwrap_or_default());
     let first_quota = quota_revision
         .is_none()
-        .then(|| quota::first(&config, shards));
+        .then(|| quota::initial_quotas(&config, shards));
     if let Some(first_quota) = &first_quota {
         transaction = transaction.write(quota_key(shard), first_quota);
     }
@@ -193,8 +193,8 @@
             previous_launches.until,
             self.config.zones.clone(),
         );
-        state.resumption.stops_wait = context.recovery.is_some();
-        state.day_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
+        state.resumption.delays_preemption = context.recovery.is_some();
+        state.wall_clock_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
         if let Some(first_quota) = self.first_quota {
             controller.put_quota(self.shard, first_quota, revision);
         }
@@ -237,15 +237,15 @@
         let this_controller = previous.holder.member == context.controller_id;
         match (previous.reconciled, this_controller) {
             (false, _) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: None,
             },
             (true, true) => PreviousLaunches {
-                until: now + self.config.lease_surely_expired(),
+                until: now + self.config.lease_expiry_bound(),
                 leader: None,
             },
             (true, false) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: Some(previous.holder.clone()),
             },
         }
--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -73,7 +73,7 @@
     let mut health_events = Vec::new();
     for led in controller.led_shards.values_mut().filter(|led| led.loaded) {
         led.state.tick(now, &config);
-        waits.add(led.state.take_started());
+        waits.add(led.state.take_task_starts());
         health_events.extend(led.state.take_health_events());
     }
     waits.log_if_due(now);
@@ -83,7 +83,7 @@
     }
     let loaded = controller.led_shards.iter().filter(|(_, led)| led.loaded);
     let due = loaded.filter_map(|(shard, led)| {
-        let urgent = led.state.has_batch(now, &config)?;
+        let urgent = led.state.next_batch_is_urgent(now, &config)?;
         let priority = if urgent {
             RequestPriority::JobCompletion
         } else {
@@ -101,18 +101,20 @@
 fn log_health_events(events: Vec<HealthEvent>) {
     for event in events {
         match event {
-            HealthEvent::Broken(id) => {
+            HealthEvent::JobBroken(id) => {
                 log::info!(
                     "put job {id} in back-off: it fails on several machines and runs on none"
                 );
             }
-            HealthEvent::Runs(id) => log::info!("ended the back-off of job {id}: it runs again"),
-            HealthEvent::Quarantined(id) => {
+            HealthEvent::JobRecovered(id) => {
+                log::info!("ended the back-off of job {id}: it runs again")
+            }
+            HealthEvent::MachineQuarantined(id) => {
                 log::info!(
                     "quarantined machine {id}: it fails jobs that run on other machines; it is to be replaced"
                 );
             }
-            HealthEvent::Fit(id) => log::info!(
+            HealthEvent::MachineRestored(id) => log::info!(
                 "ended the quarantine of machine {id}: it runs jobs that it failed before"
             ),
         }
@@ -154,10 +156,10 @@
     led: &LedShard,
 ) -> Option<PreparedImages> {
     let batches = &controller.cached.machine_batches;
-    let max_batches = controller.config.batch_ops / 2;
+    let max_batches = controller.config.max_batch_operations / 2;
     let mut records = BTreeMap::new();
     let mut changed_batches = BTreeSet::new();
-    for (id, record) in led.state.new_images() {
+    for (id, record) in led.state.outdated_image_records() {
         let Some(number) = batches.find(&id) else {
             continue;
         };
@@ -205,7 +207,7 @@
     let job_batches = &controller.cached.job_batches;
     let batch = led
         .state
-        .batch(led.revision, job_batches, now, &controller.config)?;
+        .next_batch(led.revision, job_batches, now, &controller.config)?;
     Some(PreparedDoneBatch {
         shard,
         shard_revision: led.revision,
@@ -220,10 +222,10 @@
         let mut controller = context.controller.lock();
         let led = controller.led_shards.get_mut(&self.shard);
         if let Some(led) = led.filter(|led| led.revision == self.shard_revision) {
-            led.state.batch_applied(&batch, revision);
+            led.state.mark_batch_committed(&batch, revision);
         }
         for job in &batch.jobs {
-            match job.over {
+            match job.final_record {
                 Some(_) => controller.remove_ended_job(&job.id, revision),
                 None => controller.note_own_record(&job.id, revision),
             }
@@ -232,7 +234,7 @@
         drop(controller);
         for job in &batch.jobs {
             let (shard, id, tasks) = (self.shard, &job.id, job.tasks.len());
-            match &job.over {
+            match &job.final_record {
                 Some(state) => {
                     // The user's next query can then be answered without a read.
                     context.final_states.lock().insert(id, state.clone());
@@ -268,7 +270,7 @@
     let controller = context.controller.lock();
     let led = controller.led_shards.get(&shard);
     let job = led.and_then(|led| led.state.jobs.get(id));
-    job.is_some_and(|job| job.in_batch)
+    job.is_some_and(|job| job.in_job_batch)
 }
 
 /// Reads the stored records of one job and applies them to the shard.
@@ -301,7 +303,7 @@
         }
     }
     if !is_stored {
-        led.state.drop_job(id);
+        led.state.remove_job(id);
     }
     Ok(())
 }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -164,6 +164,6 @@
         is_stable: led.loaded && !led.handing_over,
         reconciliation_unrecorded: led.loaded
             && led.reconciled_revision.is_none()
-            && !led.state.rebuilding(),
+            && !led.state.is_rebuilding(),
     }
 }
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -89,7 +89,10 @@
         Destination::Shard(_) => 1,
         Destination::Cloud => 0,
     };
-    let max_batches = controller.config.batch_ops.saturating_sub(token_writes);
+    let max_batches = controller
+        .config
+        .max_batch_operations
+        .saturating_sub(token_writes);
     (by_batch.into_values().collect(), max_batches.max(1))
 }
 
@@ -143,7 +146,7 @@
         .find(|(_, led)| ids.iter().any(|id| may_leave(led, id)))?;
     let fencing_token = counter.value.next();
     let records = records_to_write(led, ids, to, fencing_token);
-    led.state.disturb();
+    led.state.invalidate_plan();
     let mut transaction = Transaction::default().when(shard_leader_key(*shard), led.revision);
     if let Destination::Shard(_) = to {
         let next_counter = FencingTokenCounter {
@@ -242,7 +245,7 @@
         && let Some(machine) = led.state.machines.get_mut(id)
     {
         machine.leaving = machine.record.releasing;
-        led.state.disturb();
+        led.state.invalidate_plan();
     }
 }
 
--- a/crates/pulleywood-controller/src/shard/transfers.rs
+++ b/crates/pulleywood-controller/src/shard/transfers.rs
@@ -76,7 +76,7 @@
     let Some(led) = led.filter(|led| led.loaded && !led.handing_over) else {
         return Vec::new();
     };
-    let offers = led.state.offer(demand, &config).into_iter();
+    let offers = led.state.offer_tasks(demand, &config).into_iter();
     offers
         .filter_map(|offer| prepare_transfer(&controller.cached, led, from, to, offer, &config))
         .collect()
@@ -92,11 +92,11 @@
 ) -> Option<PreparedTransfer> {
     let TransferOffer { id, zone, tasks } = offer;
     let job = led.state.jobs.get(&id)?;
-    let mut record = job.record(job.committed.chunk_text(0, config.chunk));
+    let mut record = job.to_record(job.committed.chunk_text(0, config.chunk_tasks));
     record.transfer_tasks(to, zone.as_deref(), &tasks);
     let key = job_key(id.shard(config.shards), &id);
     // A job that is still in a job batch has no record of its own.
-    let revision = if job.in_batch {
+    let revision = if job.in_job_batch {
         Revision(0)
     } else {
         job.revision
@@ -106,7 +106,7 @@
         .when(key.clone(), revision)
         .write(key, &record);
     let mut job_batches = Vec::new();
-    if job.in_batch {
+    if job.in_job_batch {
         let removed = BTreeSet::from([id.clone()]);
         (transaction, job_batches) = cached.job_batches.remove_jobs(transaction, &removed);
         if job_batches.is_empty() {
@@ -140,7 +140,7 @@
         }
         if let Some(led) = controller.led_shards.get_mut(&self.from) {
             match outcome {
-                Err(StoreError::OutcomeUnknown(_)) => led.state.doubt_offer(&self.id),
+                Err(StoreError::OutcomeUnknown(_)) => led.state.mark_offer_uncertain(&self.id),
                 // The transaction was not applied and never will be.
                 _ => led.state.withdraw_offer(&self.id),
             }
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -58,7 +58,8 @@
 struct AcceptedWork {
     accepted_at: MonotonicTime,
     shard: ShardId,
-    /// Number of machines that the work would fill, as [`shard_selection::size`] measures it.
+    /// Number of machines that the work would fill, as
+    /// [`shard_selection::size_in_machines`] measures it.
     size: f64,
 }
 
@@ -154,7 +155,7 @@
     /// in time, because workers' leases expire before the cancellation is due.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
         let contact = self.lease.renewed_at.min(self.cache_current_as_of);
-        self.cache_loaded && now < contact + self.config.answer_span()
+        self.cache_loaded && now < contact + self.config.response_window()
     }
 
     /// Shards for which this controller answers workers, with their fencing tokens.
@@ -185,7 +186,7 @@
     pub fn suspend_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
         for led in self.led_shards.values_mut() {
             for id in jobs {
-                led.state.cancelling(id, until);
+                led.state.hold_for_cancellation(id, until);
             }
         }
     }
@@ -223,7 +224,7 @@
         let mut shards = self.fresh_shard_digests(now);
         shards.retain(|shard, _| self.cached.shard_leaders.contains_key(shard));
         let machines = &self.cached.machines;
-        let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
+        let shard = shard_selection::select_shard(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
             spec,
             accepted_at_ms: at_ms,
@@ -231,7 +232,7 @@
             transferred: Vec::new(),
             done: String::new(),
         };
-        shard_selection::spread(&config, &mut record, &shards, machines, &accepted);
+        shard_selection::transfer_spread_tasks(&config, &mut record, &shards, machines, &accepted);
         self.note_accepted_job(&config, &record, now);
         record
     }
@@ -248,7 +249,7 @@
     }
 
     fn note_accepted_job(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
-        let size = shard_selection::size(config, &record.spec);
+        let size = shard_selection::size_in_machines(config, &record.spec);
         let task_size = size / f64::from(record.spec.tasks.max(1));
         let mut remaining = size;
         for transfer in &record.transferred {
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -154,7 +154,7 @@
             JobEntry::Record(record) => {
                 self.cached.jobs_with_own_record.insert(id.clone());
                 let mut done = TaskSet::new();
-                done.add_chunk(&record.done, 0, self.config.chunk, record.spec.tasks);
+                done.add_chunk(&record.done, 0, self.config.chunk_tasks, record.spec.tasks);
                 self.cached.live_jobs.insert(id.clone(), done.len());
             }
             JobEntry::Batched(_) | JobEntry::Chunk(..) => {}
@@ -272,7 +272,7 @@
         }
         if let Some(led) = self.led_shards.get_mut(&shard) {
             led.state.quotas = record.clone();
-            led.state.disturb();
+            led.state.invalidate_plan();
         }
         self.cached
             .quotas
@@ -302,7 +302,7 @@
             self.cached.unreadable_machines.remove(&id);
             self.cached.machines.remove(&id);
             for led in self.led_shards.values_mut() {
-                led.state.drop_machine(&id);
+                led.state.remove_machine(&id);
             }
         }
     }
@@ -337,7 +337,7 @@
                 // it is idle. A shard that was just loaded may have a newer record than the
                 // watch: if an older record dropped the machine, it would be added again as
                 // one on which no previous leader launched anything.
-                led.state.drop_machine(id);
+                led.state.remove_machine(id);
             }
         }
         self.cached.machines.insert(id.clone(), (record, revision));
--- a/crates/pulleywood-controller/src/state/own_writes.rs
+++ b/crates/pulleywood-controller/src/state/own_writes.rs
@@ -28,7 +28,7 @@
         self.cached.live_jobs.remove(id);
         self.cached.jobs_with_own_record.remove(id);
         for led in self.led_shards.values_mut() {
-            led.state.drop_job(id);
+            led.state.remove_job(id);
         }
     }
 
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -62,12 +62,12 @@
             JobEntry::Chunk(number, record) => {
                 self.state.put_chunk(id, *number, record, revision, config)
             }
-            JobEntry::Unreadable => self.state.block_job(id),
+            JobEntry::Unreadable => self.state.mark_job_unreadable(id),
             JobEntry::Ended => {
                 let blocked = self.state.unreadable_jobs.contains(id);
                 let is_older = |job: &Job| job.revision < revision;
                 if blocked || self.state.jobs.get(id).is_some_and(is_older) {
-                    self.state.drop_job(id);
+                    self.state.remove_job(id);
                 }
             }
         }
--- a/crates/pulleywood-recovery/src/fetch_gate.rs
+++ b/crates/pulleywood-recovery/src/fetch_gate.rs
@@ -21,18 +21,22 @@
     recovery_began: MonotonicTime,
     now: MonotonicTime,
 ) -> Option<FetchGate> {
-    if shard.services_missing == 0
+    if shard.waiting_replicas == 0
         || now.since(recovery_began) >= policy.service_priority_duration()
     {
         return None;
     }
     let fetch_limit = policy.fetches_per_zone as usize;
     let zones = shard.zones.iter().map(|zone| {
-        let active = shard.lower_fetches.get(zone).copied().unwrap_or(0);
+        let active = shard
+            .fetches_below_production
+            .get(zone)
+            .copied()
+            .unwrap_or(0);
         (zone.clone(), fetch_limit.saturating_sub(active))
     });
     Some(FetchGate {
-        until: now + GATE_DURATION,
-        left: zones.collect(),
+        ends_at: now + GATE_DURATION,
+        remaining_by_zone: zones.collect(),
     })
 }
--- a/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
@@ -52,7 +52,7 @@
         if !free.fits(&tasks.need) || !allows(tasks.demand, &bin.kind) {
             continue;
         }
-        let count = free.times(&tasks.need).min(remaining);
+        let count = free.max_copies(&tasks.need).min(remaining);
         add_tasks(bin, tasks, count);
         remaining -= count;
     }
@@ -86,7 +86,7 @@
 }
 
 fn concurrent_tasks_in(bin: &Bin, tasks: &PendingTasks<'_>) -> f64 {
-    f64::from(bin.capacity.times(&tasks.need)) * (1.0 - bin.pinned_share).max(0.0)
+    f64::from(bin.capacity.max_copies(&tasks.need)) * (1.0 - bin.pinned_share).max(0.0)
 }
 
 /// Queues tasks that run for less time than a boot takes. A machine that is up or
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -158,9 +158,9 @@
             .collect();
         for (_, demand) in &demands {
             let types = machine_types::of_demand(self.config, demand);
-            self.history.type_demand.note(types, now);
+            self.history.type_demand.record_waiting(types, now);
         }
-        self.history.type_demand.forget(now);
+        self.history.type_demand.remove_expired(now);
         demands.sort_by_cached_key(|(_, demand)| {
             let flexible = !self.avoided_types(demand).is_empty();
             (flexible, Reverse(demand.rank))
@@ -180,7 +180,7 @@
     /// Returns the machine types that a demand leaves to demand that can use no others.
     fn avoided_types(&self, demand: &Demand) -> MachineTypes {
         let types = machine_types::of_demand(self.config, demand);
-        self.history.type_demand.left_to_others(&types)
+        self.history.type_demand.types_to_avoid(&types)
     }
 
     /// Packs tasks into free resources of the shard's own machines that are up. Like
--- a/crates/pulleywood-scheduler/src/fleet/rebalance.rs
+++ b/crates/pulleywood-scheduler/src/fleet/rebalance.rs
@@ -92,6 +92,6 @@
 /// isolates a zone, its machines are in the same zone as their shard's leader.
 fn is_in_zone_of(config: &Config, shard: ShardId, bin: &Bin) -> bool {
     config
-        .zone_of(shard)
+        .preferred_zone(shard)
         .is_none_or(|zone| zone == bin.kind.zone)
 }
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -144,7 +144,7 @@
 /// replacement.
 fn unreported(config: &Config, snapshot: &FleetSnapshot<'_>) -> Vec<MachineId> {
     let report_deadline_s = first_report_deadline_s(config);
-    let saved_s = config.lease_surely_expired().as_secs_f64() - report_deadline_s;
+    let saved_s = config.lease_expiry_bound().as_secs_f64() - report_deadline_s;
     let is_worthwhile = |id: &MachineId| {
         let record = snapshot.records.get(id);
         let flavor = record.and_then(|record| config.flavors.get(&record.flavor));
--- a/crates/pulleywood-scheduler/src/fleet/scale_in.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_in.rs
@@ -62,7 +62,11 @@
 /// type. Machines with the largest share of pinned tasks are kept first, then those not
 /// yet draining, then the fullest.
 fn surplus_machines<'b>(config: &Config, history: &FleetHistory, bins: &[&'b Bin]) -> Vec<&'b Bin> {
-    let used_share = |bin: &Bin| bin.free.used_of(&bin.capacity).clamp(0.0, 1.0);
+    let used_share = |bin: &Bin| {
+        bin.free
+            .dominant_share_in_use(&bin.capacity)
+            .clamp(0.0, 1.0)
+    };
     let used_machines: f64 = bins.iter().map(|bin| used_share(bin)).sum();
     let pinned_machines: f64 = bins.iter().map(|bin| bin.pinned_share).sum();
     let spot_machines = bins.iter().filter(|bin| bin.kind.spot).count() as f64;
@@ -108,7 +112,7 @@
     let machines_in_use: f64 = bins
         .iter()
         .filter(|bin| needs_headroom && bin.kind.spot == spot)
-        .map(|bin| 1.0 - bin.free.share_of(&bin.capacity))
+        .map(|bin| 1.0 - bin.free.dominant_share(&bin.capacity))
         .sum();
     let mut idle_machines: Vec<(f64, &MachineId, ShardId)> = bins
         .iter()
--- a/crates/pulleywood-scheduler/src/fleet/scale_out.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_out.rs
@@ -139,7 +139,9 @@
         let mut cheapest: Option<(f64, MachineKind, &'a Flavor)> = None;
         for flavor in self.config.flavors.values() {
             let capacity = ResourceVector::of_flavor(flavor);
-            let tasks_per_machine = capacity.times(&tasks.need).min(tasks.demand.count.max(1));
+            let tasks_per_machine = capacity
+                .max_copies(&tasks.need)
+                .min(tasks.demand.count.max(1));
             if tasks_per_machine == 0 {
                 continue;
             }
--- a/crates/pulleywood-scheduler/src/fleet/summary.rs
+++ b/crates/pulleywood-scheduler/src/fleet/summary.rs
@@ -26,7 +26,7 @@
             None => self.not_reporting += 1,
             Some(digest) => {
                 self.idle += u32::from(digest.idle_s >= 0.0);
-                self.in_use += ResourceVector::free_on(digest).used_of(capacity);
+                self.in_use += ResourceVector::free_on(digest).dominant_share_in_use(capacity);
             }
         }
     }
--- a/crates/pulleywood-scheduler/src/placement/assign.rs
+++ b/crates/pulleywood-scheduler/src/placement/assign.rs
@@ -67,7 +67,7 @@
         if !self.quota_allows(spec, &self.usage) {
             return AssignOutcome::Complete;
         }
-        let mut tasks_by_zone = self.state.by_zone(job);
+        let mut tasks_by_zone = self.state.task_counts_by_zone(job);
         let mut planned = BTreeSet::new();
         if queued.follows_starved_entry {
             planned = self.planned_tasks(queued.job_id, &mut tasks_by_zone);
@@ -96,7 +96,7 @@
                     }
                 }
                 // The job's other tasks may be bound to zones that have room.
-                TaskOutcome::NoCandidate if !job.bound.is_empty() => {
+                TaskOutcome::NoCandidate if !job.zone_bindings.is_empty() => {
                     outcome = AssignOutcome::LacksCapacity;
                 }
                 TaskOutcome::NoCandidate => return AssignOutcome::LacksCapacity,
@@ -112,7 +112,10 @@
         tasks_by_zone: BTreeMap<String, u32>,
     ) -> Assignment<'a> {
         let need = ResourceVector::of_task(&job.spec);
-        let avoided_types = self.state.choices.left_by_job(self.config, &job.spec);
+        let avoided_types = self
+            .state
+            .machine_type_demand
+            .types_to_avoid_for_job(self.config, &job.spec);
         let scored_candidates = self.score_candidates(job, &need, &avoided_types);
         Assignment {
             job,
@@ -152,10 +155,10 @@
             .map(|scored| {
                 self.candidates[scored.candidate_index]
                     .free
-                    .times(&assignment.need)
+                    .max_copies(&assignment.need)
             })
             .sum();
-        fitting_tasks >= assignment.job.waiting.len() && !assignment.job.broken
+        fitting_tasks >= assignment.job.waiting.len() && !assignment.job.gang_interrupted
     }
 
     /// Plans one task, unless it would start earlier by waiting.
--- a/crates/pulleywood-scheduler/src/placement/candidates.rs
+++ b/crates/pulleywood-scheduler/src/placement/candidates.rs
@@ -1,7 +1,7 @@
 //! Candidate machines: the machines that can accept tasks now, and their resources.
 
 use crate::config::Config;
-use crate::resources::{MOST_TASKS, ResourceVector};
+use crate::resources::{MAX_TASKS_PER_MACHINE, ResourceVector};
 use crate::shard::ShardState;
 use crate::shard::machine::{Machine, Slot, SlotState};
 use pulleywood_protocol::cloud::Flavor;
@@ -80,10 +80,10 @@
             images: &machine.images,
             fetching: usage.fetching,
             fetch_queue_gb: usage.fetch_queue_gb,
-            pinned_share: usage.pinned.share_of(&capacity),
+            pinned_share: usage.pinned.dominant_share(&capacity),
             completions_per_s: usage.completions_per_s,
             next_heartbeat_s,
-            launches_left: (MOST_TASKS as usize)
+            launches_left: (MAX_TASKS_PER_MACHINE as usize)
                 .saturating_sub(machine.slots.len())
                 .min(MAX_LAUNCHES_PER_PLAN),
             planned: Vec::new(),
@@ -113,7 +113,7 @@
         let need = ResourceVector::of_task(spec);
         self.free -= need;
         if !spec.spot {
-            self.pinned_share += need.share_of(&self.capacity);
+            self.pinned_share += need.dominant_share(&self.capacity);
         }
         if spec.image_gb.0 > 0.0 && !self.has_image(spec) && !self.is_fetching(spec) {
             self.fetching.push(&spec.image);
@@ -142,7 +142,7 @@
             fetch_queue_gb: 0.0,
             completions_per_s: 0.0,
         };
-        for slot in machine.slots.iter().filter(|slot| slot.holds_room()) {
+        for slot in machine.slots.iter().filter(|slot| slot.holds_resources()) {
             if let Some(spec) = &slot.spec {
                 usage.add(machine, slot, spec);
             }
@@ -156,7 +156,7 @@
         if !spec.spot {
             self.pinned += held_resources;
         }
-        if slot.stop.is_some() {
+        if slot.stop_grace_s.is_some() {
             self.releasing += held_resources;
         }
         if spec.shape != Shape::Service && slot.state == SlotState::Running {
@@ -176,13 +176,13 @@
 /// Returns whether a machine can accept tasks now, whatever they need.
 fn is_schedulable(machine: &Machine, now: MonotonicTime, max_heartbeat_age: Duration) -> bool {
     let heartbeat_is_recent = machine
-        .heard
+        .last_heartbeat_at
         .is_some_and(|at| now.since(at) < max_heartbeat_age);
     machine.confirmed
         && heartbeat_is_recent
         && machine.inbound_partitioned_since.is_none()
-        && machine.stays_in_use(now)
-        && !machine.has_foreign()
+        && machine.remains_in_service(now)
+        && !machine.has_unknown_attempts()
 }
 
 /// Returns the machines of a shard that can accept tasks now, in the order of their
@@ -203,7 +203,7 @@
         let Some(flavor) = config.flavors.get(&machine.record.flavor) else {
             continue;
         };
-        let next_heartbeat_s = match machine.heard {
+        let next_heartbeat_s = match machine.last_heartbeat_at {
             Some(at) if id != reporter => config
                 .heartbeat_interval
                 .saturating_sub(now.since(at))
--- a/crates/pulleywood-scheduler/src/placement/claim.rs
+++ b/crates/pulleywood-scheduler/src/placement/claim.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::queue::usage_in_all_shards;
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,17 +49,19 @@
     /// including planned tasks.
     pub(super) fn claim(&self, spec: &JobSpec, usage: &BTreeMap<String, Slots>) -> Claim<'a> {
         let mut own_usage = usage_in_all_shards(self.state, &spec.team, usage);
-        add(&mut own_usage, ResourceVector::of_task(spec).slots());
+        add_slots(&mut own_usage, ResourceVector::of_task(spec).slots());
         let teams = &self.config.teams;
         if !teams
             .get(&spec.team)
-            .is_some_and(|team| team.guarantees(own_usage))
+            .is_some_and(|team| team.guarantee_covers(own_usage))
         {
             return Claim::default();
         }
         let others = teams.iter().filter(|(name, _)| **name != spec.team);
         let borrowing = others
-            .filter(|(name, team)| !team.guarantees(usage_in_all_shards(self.state, name, usage)))
+            .filter(|(name, team)| {
+                !team.guarantee_covers(usage_in_all_shards(self.state, name, usage))
+            })
             .map(|(name, _)| name.as_str());
         Claim {
             guaranteed: true,
@@ -80,6 +82,7 @@
     /// resources. Right after this leader regains contact with the workers, most
     /// heartbeats are still outstanding. Nothing is preempted for the job until then.
     pub(super) fn capacity_may_return(&self, spec: &JobSpec) -> bool {
-        self.state.returning_room(spec, self.now, self.config)
+        self.state
+            .may_fit_returning_machine(spec, self.now, self.config)
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/filter.rs
+++ b/crates/pulleywood-scheduler/src/placement/filter.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use super::candidates::CandidateMachine;
-use crate::resources::{ResourceVector, within};
+use crate::resources::{ResourceVector, within_limit};
 use crate::shard::Job;
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
@@ -31,7 +31,7 @@
     zone: &str,
 ) -> bool {
     let spec = &job.spec;
-    if let Some(bound_zone) = job.bound.get(&task_index) {
+    if let Some(bound_zone) = job.zone_bindings.get(&task_index) {
         return bound_zone == zone;
     }
     if spec.one_zone && tasks_by_zone.keys().any(|other| other != zone) {
@@ -55,7 +55,7 @@
         };
         let quotas = &self.state.quotas.teams;
         let quota = quotas.get(&spec.team).copied().unwrap_or_default();
-        within(
+        within_limit(
             usage.get(&spec.team).copied().unwrap_or_default(),
             ResourceVector::of_task(spec).slots(),
             quota,
--- a/crates/pulleywood-scheduler/src/placement/mod.rs
+++ b/crates/pulleywood-scheduler/src/placement/mod.rs
@@ -77,12 +77,12 @@
         }
         self.planned_at = Some(now);
         let plan = self.make_plan(reporter, now, config);
-        self.plan = plan.launches;
+        self.planned_launches = plan.launches;
         self.candidates_examined += plan.candidates_examined;
         for preemption in plan.preemptions {
             let machine = self.machines.get_mut(&preemption.machine);
             if let Some(slot) = machine.and_then(|m| m.slots.get_mut(preemption.slot)) {
-                slot.stop = Some(preemption.grace_s);
+                slot.stop_grace_s = Some(preemption.grace_s);
             }
         }
     }
@@ -166,7 +166,7 @@
             releasing_candidates: indices().filter(is_releasing).collect(),
             candidates,
             smallest_task,
-            usage: state.used(config),
+            usage: state.usage_by_team(config),
             lowest_rank,
             running_teams,
             borrowed: BorrowedUsage::of(state, config),
@@ -236,7 +236,7 @@
     };
     let waiting = queues.values().flatten();
     waiting.fold(unlimited, |least, queued| {
-        least.least(&ResourceVector::of_task(&queued.job.spec))
+        least.component_min(&ResourceVector::of_task(&queued.job.spec))
     })
 }
 
@@ -245,7 +245,7 @@
     let mut lowest_rank: Option<Rank> = None;
     let mut teams: Vec<&str> = Vec::new();
     for slot in candidates.iter().flat_map(|candidate| candidate.slots) {
-        if let Some(spec) = slot.spec.as_ref().filter(|_| slot.holds_room()) {
+        if let Some(spec) = slot.spec.as_ref().filter(|_| slot.holds_resources()) {
             lowest_rank = Some(lowest_rank.map_or(spec.rank, |lowest| lowest.min(spec.rank)));
             if !teams.contains(&spec.team.as_str()) {
                 teams.push(&spec.team);
--- a/crates/pulleywood-scheduler/src/placement/score.rs
+++ b/crates/pulleywood-scheduler/src/placement/score.rs
@@ -69,7 +69,7 @@
         // released. Tasks that may not run on spot machines are packed among
         // themselves.
         let empty_share = if spec.spot {
-            1.0 - self.free.used_of(&self.capacity)
+            1.0 - self.free.dominant_share_in_use(&self.capacity)
         } else {
             1.0 - self.pinned_share
         };
--- a/crates/pulleywood-scheduler/tests/fleet.rs
+++ b/crates/pulleywood-scheduler/tests/fleet.rs
@@ -544,7 +544,7 @@
     ];
     for (homes, transferable, moves, transfers) in cases {
         let mut fleet = Fleet::new();
-        fleet.config.homes = homes.to_vec();
+        fleet.config.controller_zones = homes.to_vec();
         fleet.add_machine(SHARD_B, 1, 0.0, Rank::Idle, 5.0);
         let demand = demand(1, Rank::Standard, true);
         fleet.add_demand(
--- a/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
@@ -8,12 +8,14 @@
         for digest in self.digests.values() {
             for demand in &digest.demand {
                 let types = machine_types::of_demand(&self.config, demand);
-                self.machine_type_demand.note(types, self.now);
+                self.machine_type_demand.record_waiting(types, self.now);
             }
         }
-        self.machine_type_demand.forget(self.now);
+        self.machine_type_demand.remove_expired(self.now);
         for state in self.shards.values_mut() {
-            state.choices.clone_from(&self.machine_type_demand);
+            state
+                .machine_type_demand
+                .clone_from(&self.machine_type_demand);
         }
     }
 
@@ -30,7 +32,7 @@
                 sum.cpus.0 += used.cpus.0;
                 sum.gpus.0 += used.gpus.0;
             }
-            state.elsewhere = elsewhere;
+            state.usage_in_other_shards = elsewhere;
         }
     }
 
@@ -44,15 +46,15 @@
             self.digests.insert(*shard, Arc::new(digest));
             for event in state.take_health_events() {
                 let (kind, name) = match event {
-                    HealthEvent::Broken(id) => (0, id.to_string()),
-                    HealthEvent::Runs(id) => (1, id.to_string()),
-                    HealthEvent::Quarantined(id) => (2, id.to_string()),
-                    HealthEvent::Fit(id) => (3, id.to_string()),
+                    HealthEvent::JobBroken(id) => (0, id.to_string()),
+                    HealthEvent::JobRecovered(id) => (1, id.to_string()),
+                    HealthEvent::MachineQuarantined(id) => (2, id.to_string()),
+                    HealthEvent::MachineRestored(id) => (3, id.to_string()),
                 };
                 self.digest.number(kind);
                 self.digest.text(&name);
             }
-            self.digest.number(state.take_started().len() as u64);
+            self.digest.number(state.take_task_starts().len() as u64);
             self.digest.number(state.candidates_examined);
             let snapshot = state.snapshot(&self.config);
             for count in [
@@ -62,13 +64,13 @@
                 snapshot.running,
                 snapshot.stopping,
                 snapshot.uncommitted,
-                snapshot.older_waiting,
-                snapshot.older_blocked,
-                snapshot.services_missing,
+                snapshot.inherited_waiting,
+                snapshot.inherited_blocked,
+                snapshot.waiting_replicas,
             ] {
                 self.digest.number(count as u64);
             }
-            for (id, record) in state.new_images() {
+            for (id, record) in state.outdated_image_records() {
                 self.digest.text(&id.0);
                 self.digest.bytes(&cbor::encode(&record));
                 if self.rng.bool() {
@@ -93,7 +95,7 @@
     pub(super) fn balance(&mut self) {
         let need = |digest: &ShardDigest| {
             let teams = self.config.teams.keys().map(|team| {
-                let need = Need {
+                let need = QuotaNeed {
                     used: digest.used.get(team).copied().unwrap_or_default(),
                     wanted: digest.wanted.get(team).copied().unwrap_or_default(),
                     stuck: digest.quota_blocked_teams.contains(team),
@@ -103,17 +105,17 @@
             teams.collect::<BTreeMap<_, _>>()
         };
         let needs = self.digests.iter().map(|(shard, d)| (*shard, need(d)));
-        let needs: BTreeMap<ShardId, BTreeMap<String, Need>> = needs.collect();
+        let needs: BTreeMap<ShardId, BTreeMap<String, QuotaNeed>> = needs.collect();
         match quota::balance(&self.config, &self.quotas, &needs) {
             None => self.digest.number(0),
-            Some(Step::Grow(shard, record)) => {
+            Some(QuotaStep::Grow(shard, record)) => {
                 self.digest.number(1);
                 self.set_quota(shard, record);
             }
-            Some(Step::Shrink(shard, to)) => {
+            Some(QuotaStep::Shrink(shard, to)) => {
                 self.digest.number(2);
-                let used = self.shards[&shard].used(&self.config);
-                if let Some(record) = quota::shrunk(&self.quotas[&shard], &to, &used) {
+                let used = self.shards[&shard].usage_by_team(&self.config);
+                if let Some(record) = quota::shrunk_record(&self.quotas[&shard], &to, &used) {
                     self.set_quota(shard, record);
                 }
             }
@@ -125,7 +127,7 @@
         self.digest.bytes(&cbor::encode(&record));
         let state = self.shards.get_mut(&shard).expect("a shard");
         state.quotas = record.clone();
-        state.disturb();
+        state.invalidate_plan();
         self.quotas.insert(shard, record);
     }
 }
