--- a/crates/pulleywood-controller/tests/cluster/mod.rs
+++ b/crates/pulleywood-controller/tests/cluster/mod.rs
@@ -14,7 +14,7 @@
     CloudLimits, Cluster, Resources, Seed, Services, Settings, StateLimits, Team, Workers,
 };
 use pulleywood_protocol::{JobId, JobSpec, MachineId, MemberId, Shape};
-use pulleywood_testkit::cloud::Controllers;
+use pulleywood_testkit::cloud::ControllerAddresses;
 use pulleywood_testkit::samples;
 use pulleywood_testkit::{
     CuttableProxy, FakeCloud, FakeStore, Fault, InvariantChecker, StoreEndpoint,
@@ -232,12 +232,12 @@
     pub fn build(options: Options) -> TestCluster {
         let invariants = Arc::new(InvariantChecker::default());
         if options.limit > 0.0 {
-            invariants.limit("red", options.limit);
+            invariants.set_gpu_limit("red", options.limit);
         }
         let count = options.controllers;
         let serve_on: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
         let peers: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
-        let controllers: Controllers = Controllers::default();
+        let controllers: ControllerAddresses = ControllerAddresses::default();
         *controllers.lock() = serve_on
             .iter()
             .enumerate()
@@ -364,13 +364,13 @@
 
     /// Cuts a controller off from the store and its peers, not from workers and users.
     pub fn isolate(&self, n: usize) {
-        self.endpoints[n].set(Fault::Cut);
+        self.endpoints[n].set_fault(Fault::NoAnswer);
         self.set_peers_cut(n, true);
     }
 
     /// Ends [`TestCluster::isolate`].
     pub fn end_isolation(&self, n: usize) {
-        self.endpoints[n].set(Fault::None);
+        self.endpoints[n].set_fault(Fault::None);
         self.set_peers_cut(n, false);
     }
 
@@ -384,14 +384,14 @@
 
     /// Ends the fault between a controller and the store, and waits until it is ready.
     pub fn restore_store_access(&self, n: usize) {
-        self.endpoints[n].set(Fault::None);
+        self.endpoints[n].set_fault(Fault::None);
         self.wait_ready(n);
     }
 
     /// Sets a fault between every controller and the store.
     pub fn set_all(&self, fault: Fault) {
         for endpoint in &self.endpoints {
-            endpoint.set(fault);
+            endpoint.set_fault(fault);
         }
     }
 
@@ -459,8 +459,8 @@
 
     /// Waits until no task of a job runs; from then on none may be launched.
     pub fn wait_gone(&self, id: &JobId) {
-        wait("gone", || self.invariants.running(id) == 0);
-        self.invariants.note_ended(id);
+        wait("gone", || self.invariants.running_tasks(id) == 0);
+        self.invariants.forbid_starts(id);
     }
 
     /// Waits until a controller answers with this status of a job.
@@ -513,14 +513,16 @@
     /// Submits a job of long tasks and waits until some task of it runs.
     pub fn submit_and_wait_running(&self, spec: &JobSpec) {
         self.submit(spec, LONG);
-        wait("running", || self.invariants.running(&spec.id) > 0);
+        wait("running", || self.invariants.running_tasks(&spec.id) > 0);
     }
 
     /// Submits a job of long tasks and waits until all its tasks run.
     pub fn submit_and_wait_all_running(&self, spec: &JobSpec) {
         self.submit(spec, LONG);
         let tasks = spec.tasks as usize;
-        wait("all run", || self.invariants.running(&spec.id) == tasks);
+        wait("all run", || {
+            self.invariants.running_tasks(&spec.id) == tasks
+        });
     }
 
     /// Submits a job of short tasks and waits until it is done.
@@ -531,7 +533,7 @@
 
     /// Fails if the invariant checker saw a broken rule.
     pub fn finish(&self) {
-        assert_eq!(self.invariants.broken(), Vec::<String>::new());
+        assert_eq!(self.invariants.violations(), Vec::<String>::new());
     }
 }
 
--- a/crates/pulleywood-controller/tests/failures.rs
+++ b/crates/pulleywood-controller/tests/failures.rs
@@ -88,12 +88,12 @@
 
 #[test]
 fn jobs_finish_while_store_responses_are_lost_late_or_slow() {
-    for fault in [Fault::LoseAnswers, Fault::Late(1700), Fault::Slow(900)] {
+    for fault in [Fault::LoseResponses, Fault::Late(1700), Fault::Slow(900)] {
         let cluster = TestCluster::new(0.0);
         let first = job(1, 4);
         cluster.submit_and_wait_running(&first);
-        cluster.endpoints[0].set(fault);
-        cluster.endpoints[1].set(fault);
+        cluster.endpoints[0].set_fault(fault);
+        cluster.endpoints[1].set_fault(fault);
         let second = job(2, 2);
         cluster.submit_and_wait_done(&second);
         cluster.set_all(Fault::None);
@@ -109,7 +109,11 @@
     cluster.submit_and_wait_all_running(&spec);
     // A worker is cut off while its tasks run on, and all controllers are killed.
     let machine = cluster.first_machine_of(&spec.id);
-    cluster.cloud.worker(&machine).unwrap().set_cut(true);
+    cluster
+        .cloud
+        .worker(&machine)
+        .unwrap()
+        .set_partitioned(true);
     cluster.restart_all();
     cluster.wait_done(&spec.id);
     cluster.finish();
@@ -117,11 +121,11 @@
 
 #[test]
 fn a_leader_cut_off_from_the_store_is_replaced_and_rejoins() {
-    for fault in [Fault::Cut, Fault::Refuse] {
+    for fault in [Fault::NoAnswer, Fault::Refuse] {
         let cluster = TestCluster::new(0.0);
         let spec = job(1, 6);
         cluster.submit_and_wait_running(&spec);
-        cluster.endpoints[0].set(fault);
+        cluster.endpoints[0].set_fault(fault);
         cluster.wait_done(&spec.id);
         cluster.restore_store_access(0);
         let next = job(2, 2);
@@ -136,7 +140,7 @@
         let cluster = TestCluster::new(0.0);
         let spec = service(1, 4);
         cluster.submit_and_wait_all_running(&spec);
-        cluster.endpoints[leader].set(Fault::Cut);
+        cluster.endpoints[leader].set_fault(Fault::NoAnswer);
         let other = (leader + 1) % CONTROLLERS;
         cluster.cancel(other, &spec.id);
         cluster.wait_gone(&spec.id);
@@ -172,19 +176,21 @@
     let specs: Vec<JobSpec> = (1..=4).map(|n| job(n, 3)).collect();
     cluster.submit_all(&specs, Duration::from_secs(1));
     wait("running", || {
-        specs.iter().any(|s| cluster.invariants.running(&s.id) > 0)
+        specs
+            .iter()
+            .any(|s| cluster.invariants.running_tasks(&s.id) > 0)
     });
     cluster.kill(0);
-    cluster.endpoints[1].set(Fault::Cut);
+    cluster.endpoints[1].set_fault(Fault::NoAnswer);
     wait("another start", || {
         specs
             .iter()
-            .map(|s| cluster.invariants.starts(&s.id))
+            .map(|s| cluster.invariants.start_count(&s.id))
             .sum::<u32>()
             > 4
     });
     cluster.start(0);
-    cluster.endpoints[1].set(Fault::None);
+    cluster.endpoints[1].set_fault(Fault::None);
     cluster.wait_all_done(&specs);
     assert!(!cluster.store.keys("c/grant/").is_empty());
     cluster.finish();
@@ -221,7 +227,7 @@
     }
     cluster.wait_all_done(&jobs);
     for spec in &services {
-        wait("gone", || cluster.invariants.running(&spec.id) == 0);
+        wait("gone", || cluster.invariants.running_tasks(&spec.id) == 0);
         cluster.wait_status_everywhere(&spec.id, JobStatus::Cancelled);
     }
     wait("no job is left in a job batch", || {
@@ -239,7 +245,7 @@
     let worker = cluster.cloud.worker(&partitioned).unwrap();
     worker.set_inbound_partitioned(true);
     wait("they run elsewhere", || {
-        cluster.invariants.running(&spec.id) == 4
+        cluster.invariants.running_tasks(&spec.id) == 4
             && !cluster
                 .invariants
                 .machines_of(&spec.id)
@@ -318,10 +324,10 @@
     cluster.submit_all(&specs, Duration::from_secs(1));
     for round in 0..6 {
         let n = round % CONTROLLERS;
-        cluster.endpoints[n].set(Fault::Late(700));
+        cluster.endpoints[n].set_fault(Fault::Late(700));
         cluster.restart(n);
         cluster.restart(n);
-        cluster.endpoints[n].set(Fault::None);
+        cluster.endpoints[n].set_fault(Fault::None);
     }
     cluster.wait_all_done(&specs);
     cluster.wait_all_ready();
@@ -340,7 +346,7 @@
     cluster.store.extend_leases();
     cluster.set_all(Fault::None);
     cluster.wait_all_ready();
-    let before = cluster.store.reads();
+    let before = cluster.store.user_reads();
     std::thread::scope(|scope| {
         for spec in &specs {
             for n in 0..CONTROLLERS {
@@ -351,7 +357,7 @@
             }
         }
     });
-    let reads = cluster.store.reads() - before;
+    let reads = cluster.store.user_reads() - before;
     let requests = (specs.len() * CONTROLLERS) as u64;
     assert!(
         reads < requests / 2,
@@ -368,7 +374,7 @@
     let specs: Vec<JobSpec> = (1..=6).map(|n| job(n, 3)).collect();
     let service = service(7, 2);
     cluster.submit(&service, LONG);
-    cluster.set_all(Fault::SomeLate(2500));
+    cluster.set_all(Fault::EverySecondLate(2500));
     cluster.submit_all(&specs, SHORT);
     cluster.restart(1);
     cluster.cancel(2, &service.id);
@@ -387,7 +393,7 @@
     cluster.submit(&spec, Duration::from_secs(2));
     for ended in 1..=2 {
         wait("the next one runs", || {
-            cluster.invariants.starts(&spec.id) > ended
+            cluster.invariants.start_count(&spec.id) > ended
         });
         cluster.restart_all();
     }
@@ -441,11 +447,11 @@
         }
     };
     read_all_statuses();
-    let before = cluster.store.reads();
+    let before = cluster.store.user_reads();
     for _ in 0..5 {
         read_all_statuses();
     }
-    assert_eq!(cluster.store.reads(), before);
+    assert_eq!(cluster.store.user_reads(), before);
     cluster.finish();
 }
 
@@ -467,7 +473,8 @@
         final_status.is_some()
     });
     cluster.wait_done(&ended.id);
-    let starts = cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
+    let starts =
+        cluster.invariants.start_count(&ended.id) + cluster.invariants.start_count(&cancelled.id);
     for n in 0..CONTROLLERS {
         for (spec, status) in [
             (&ended, JobStatus::Done),
@@ -485,7 +492,7 @@
         assert_eq!(unknown, 404);
     }
     let starts_after =
-        cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
+        cluster.invariants.start_count(&ended.id) + cluster.invariants.start_count(&cancelled.id);
     assert_eq!(starts_after, starts);
     cluster.finish();
 }
--- a/crates/pulleywood-controller/tests/meetings.rs
+++ b/crates/pulleywood-controller/tests/meetings.rs
@@ -33,7 +33,7 @@
     });
     cluster
         .invariants
-        .note_cancelled(id, cluster.cancel + SLACK);
+        .record_cancellation(id, cluster.cancel + SLACK);
 }
 
 fn others(leader: usize) -> Vec<usize> {
@@ -45,7 +45,7 @@
 fn partly_transferred(cluster: &TestCluster, ids: &mut impl Iterator<Item = u64>) -> JobSpec {
     let small: Vec<JobSpec> = ids.take(8).map(|n| service(n, 1)).collect();
     cluster.submit_all(&small, LONG);
-    let runs = |spec: &JobSpec| cluster.invariants.running(&spec.id) == 1;
+    let runs = |spec: &JobSpec| cluster.invariants.running_tasks(&spec.id) == 1;
     wait("all machines are full", || small.iter().all(runs));
     let mut halves = BTreeMap::new();
     for spec in &small {
@@ -65,13 +65,13 @@
     };
     // If all four machines are in the job's own shard, the next job may select another.
     wait("transferred", || {
-        if cluster.invariants.running(&wide.id) == 4 && !transferred(&wide.id) {
+        if cluster.invariants.running_tasks(&wide.id) == 4 && !transferred(&wide.id) {
             cancel(cluster, &[0, 1, 2], &wide.id);
             cluster.wait_gone(&wide.id);
             wide = service(ids.next().unwrap(), 4);
             cluster.submit(&wide, LONG);
         }
-        cluster.invariants.running(&wide.id) == 4 && transferred(&wide.id)
+        cluster.invariants.running_tasks(&wide.id) == 4 && transferred(&wide.id)
     });
     wide
 }
@@ -85,13 +85,13 @@
         let mut ids = 1..;
         let mut spec = partly_transferred(&cluster, &mut ids);
         for round in 0..2 {
-            cluster.endpoints[leader].set(Fault::Refuse);
+            cluster.endpoints[leader].set_fault(Fault::Refuse);
             cancel(&cluster, &others(leader), &spec.id);
             cluster.set_all(Fault::Refuse);
             cluster.wait_gone(&spec.id);
             // No controller answers workers any longer, so their leases expire.
             wait("all leases expired", || {
-                cluster.invariants.on_machines() == 0
+                cluster.invariants.all_running_tasks() == 0
             });
             for n in 0..CONTROLLERS {
                 let (status, _) = cluster.call(n, "GET", &format!("/v2/runs/{}", spec.id), None);
@@ -149,13 +149,13 @@
 fn no_controller_answers_with_an_older_state_however_soon_users_ask() {
     // Users ask all controllers without a pause and repeat the submission, from before the job
     // is accepted until its final state. Some cancel at once, some at the end of the last task.
-    for fault in [Fault::None, Fault::LoseAnswers, Fault::Slow(120)] {
+    for fault in [Fault::None, Fault::LoseResponses, Fault::Slow(120)] {
         let cluster = TestCluster::new(0.0);
         for n in 1..=6 {
             let spec = job(n, 2);
             cluster.invariants.expect_job(spec.clone(), SHORT);
             // One controller's connection to the store is faulty.
-            cluster.endpoints[n as usize % CONTROLLERS].set(fault);
+            cluster.endpoints[n as usize % CONTROLLERS].set_fault(fault);
             let newest = NewestAnswer {
                 rank: AtomicU8::new(0),
                 stop: AtomicBool::new(false),
@@ -225,7 +225,12 @@
     let incomplete = cbor::encode(&BTreeMap::from([("uid", "j-000002")]));
     let wide = cbor::encode(&service(3, 3));
     let valid = cbor::encode(&valid);
-    for fault in [Fault::None, Fault::Refuse, Fault::LoseAnswers, Fault::None] {
+    for fault in [
+        Fault::None,
+        Fault::Refuse,
+        Fault::LoseResponses,
+        Fault::None,
+    ] {
         cluster.set_all(fault);
         for n in 0..CONTROLLERS {
             for _ in 0..2 {
@@ -256,7 +261,11 @@
         let spec = service(1, 4);
         cluster.submit_and_wait_all_running(&spec);
         for machine in cluster.invariants.machines_of(&spec.id) {
-            cluster.cloud.worker(&machine).unwrap().set_cut(true);
+            cluster
+                .cloud
+                .worker(&machine)
+                .unwrap()
+                .set_partitioned(true);
         }
         cancel(&cluster, &[0, 1, 2], &spec.id);
         if !keep_leaders {
@@ -276,7 +285,7 @@
     let specs: Vec<JobSpec> = (1..=6).map(|n| service(n, 1)).collect();
     cluster.submit_all(&specs, LONG);
     wait("all run", || {
-        let run = |s: &JobSpec| cluster.invariants.running(&s.id) == 1;
+        let run = |s: &JobSpec| cluster.invariants.running_tasks(&s.id) == 1;
         specs.iter().all(run)
     });
     for (round, spec) in specs.iter().enumerate() {
@@ -285,10 +294,10 @@
         if round % 2 == 0 {
             cluster.restart(leader);
         } else {
-            cluster.endpoints[leader].set(Fault::Refuse);
+            cluster.endpoints[leader].set_fault(Fault::Refuse);
         }
         cancel(&cluster, &others(leader), &spec.id);
-        cluster.endpoints[leader].set(Fault::None);
+        cluster.endpoints[leader].set_fault(Fault::None);
     }
     for spec in &specs {
         cluster.wait_gone(&spec.id);
@@ -304,12 +313,16 @@
     // controllers restart and a machine with tasks is cut off. The lease is long enough to rent
     // another machine while the tasks still run.
     let mut cluster = TestCluster::with_lease(0.0, 6.0);
-    cluster.set_all(Fault::SomeLate(600));
+    cluster.set_all(Fault::EverySecondLate(600));
     let spec = job(1, 4);
     cluster.submit(&spec, Duration::from_secs(8));
-    wait("running", || cluster.invariants.running(&spec.id) > 0);
+    wait("running", || cluster.invariants.running_tasks(&spec.id) > 0);
     let machine = cluster.first_machine_of(&spec.id);
-    cluster.cloud.worker(&machine).unwrap().set_cut(true);
+    cluster
+        .cloud
+        .worker(&machine)
+        .unwrap()
+        .set_partitioned(true);
     cluster.restart_one_by_one();
     cluster.set_all(Fault::None);
     cluster.wait_done(&spec.id);
--- a/crates/pulleywood-controller/tests/mixed_builds.rs
+++ b/crates/pulleywood-controller/tests/mixed_builds.rs
@@ -102,7 +102,7 @@
         cluster.wait_all_ready();
         cluster.wait_all_done(&unfinished);
         wait("the service runs", || {
-            cluster.invariants.running(&lasting.id) == 2
+            cluster.invariants.running_tasks(&lasting.id) == 2
         });
         check_final_state(&cluster, &done.id, JobStatus::Done);
         check_final_state(&cluster, &cancelled.id, JobStatus::Cancelled);
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -56,7 +56,9 @@
     cluster.submit(&short, LONG);
     let all = [&service, &array, &short];
     let running = |cluster: &TestCluster| -> usize {
-        all.iter().map(|s| cluster.invariants.running(&s.id)).sum()
+        all.iter()
+            .map(|s| cluster.invariants.running_tasks(&s.id))
+            .sum()
     };
     let expected: usize = all.iter().map(|s| s.tasks as usize).sum();
     wait("all run", || running(&cluster) == expected);
@@ -66,16 +68,17 @@
         .into_iter()
         .chain(cluster.invariants.machines_of(&array.id))
         .collect();
-    let before = cluster.invariants.starts(&service.id) + cluster.invariants.starts(&array.id);
+    let before =
+        cluster.invariants.start_count(&service.id) + cluster.invariants.start_count(&array.id);
     cluster.kill_all();
     // Machines are lost and tasks end while no controller runs.
     let lost: Vec<MachineId> = machines.iter().step_by(8).cloned().collect();
     let lost_tasks: usize = {
-        let on = cluster.invariants.on_machines();
+        let on = cluster.invariants.all_running_tasks();
         for machine in &lost {
             cluster.cloud.worker(machine).unwrap().reclaim();
         }
-        on - cluster.invariants.on_machines()
+        on - cluster.invariants.all_running_tasks()
     };
     assert!(lost_tasks > 0);
     wait("done while no controller runs", || {
@@ -86,8 +89,9 @@
     wait("all run again", || running(&cluster) == kept);
     cluster.wait_done(&short.id);
     // Lost tasks were launched again once, and nothing else was.
-    let starts =
-        cluster.invariants.starts(&service.id) + cluster.invariants.starts(&array.id) - before;
+    let starts = cluster.invariants.start_count(&service.id)
+        + cluster.invariants.start_count(&array.id)
+        - before;
     assert!(
         starts as usize <= lost_tasks,
         "{starts} starts, {lost_tasks} lost"
@@ -174,7 +178,7 @@
     };
     let shards = CONTROLLERS as u32;
     let key = job_key(unwatched.id.shard(shards), &unwatched.id);
-    cluster.store.put_unseen(&key, &record);
+    cluster.store.put_without_event(&key, &record);
     wait("found and run", || {
         cluster.invariants.is_done(&unwatched.id)
     });
@@ -191,7 +195,7 @@
     let key = job_key(id.shard(shards), &id);
     cluster
         .store
-        .put_unseen(&key, &"a record of a later release");
+        .put_without_event(&key, &"a record of a later release");
     cluster.restart_all();
     cluster.wait_all_ready();
     let valid = job(1, 4);
@@ -260,7 +264,9 @@
     });
     let spec = job(1, 4);
     cluster.submit(&spec, Duration::from_secs(3600));
-    wait("running", || cluster.invariants.running(&spec.id) == 4);
+    wait("running", || {
+        cluster.invariants.running_tasks(&spec.id) == 4
+    });
     let healthy = inspect(&cluster, &[]);
     let text = String::from_utf8_lossy(&healthy.stdout).into_owned();
     assert_eq!(healthy.status.code(), Some(0), "{text}");
@@ -273,7 +279,7 @@
         shards.iter().all(|s| s["holder"].is_null())
     };
     wait("the leases expired", || no_leaders(&cluster));
-    let starts = cluster.invariants.starts(&spec.id);
+    let starts = cluster.invariants.start_count(&spec.id);
     let writes = cluster.store.writes();
     let output = inspect(&cluster, &["--json", "--ask-workers"]);
     assert_eq!(output.status.code(), Some(1), "no shard has a leader");
@@ -291,6 +297,6 @@
     }
     let next = job(2, 2);
     cluster.submit_and_wait_done(&next);
-    assert_eq!(cluster.invariants.starts(&spec.id), starts);
+    assert_eq!(cluster.invariants.start_count(&spec.id), starts);
     cluster.finish();
 }
--- a/crates/pulleywood-testkit/src/cloud.rs
+++ b/crates/pulleywood-testkit/src/cloud.rs
@@ -1,9 +1,9 @@
-//! A fake of the cloud's rental interface, on loopback.
+//! A fake of the cloud's rental interface that listens on loopback.
 //!
-//! It promises idempotent rental requests (the same name gets the same machines), a capacity
-//! limit, and a running [`Worker`] on each rented machine. It does not imitate boot time, rate
-//! limits, failed machines, spot preemption or lists that lag; the list is one page, and there
-//! is one machine type.
+//! Rental requests are idempotent: the same name gets the same machines. The number of machines
+//! is limited, and a [`Worker`] runs on each rented machine. There is one machine type, and the
+//! list of rentals is a single page. Boot times, rate limits, failed machines, spot preemption
+//! and lists that lag are not simulated.
 
 use crate::invariant_checker::InvariantChecker;
 use crate::loopback;
@@ -20,13 +20,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Names and addresses of the controllers that workers know.
-pub type Controllers = Arc<Mutex<Vec<(MemberId, SocketAddr)>>>;
+/// Names and addresses of all controllers, shared with the workers, which follow changes.
+pub type ControllerAddresses = Arc<Mutex<Vec<(MemberId, SocketAddr)>>>;
 
-/// The fake cloud.
+/// The fake cloud. Clones share the same machines.
 #[derive(Debug, Clone)]
 pub struct FakeCloud {
-    /// Where it listens.
+    /// Address on which the rental interface listens.
     pub addr: SocketAddr,
     shared: Arc<CloudState>,
 }
@@ -37,16 +37,16 @@
     capacity: usize,
     heartbeat_interval: Duration,
     lease: Duration,
-    controllers: Controllers,
+    controllers: ControllerAddresses,
     invariants: Arc<InvariantChecker>,
     rented: Mutex<Rented>,
 }
 
 #[derive(Debug, Default)]
 struct Rented {
-    /// Number of the next machine.
-    next: u32,
-    /// Machines by the name of the request that rented them.
+    /// Number of the next machine, which its name contains.
+    next_machine_number: u32,
+    /// By the name of a rental request: the machines that it got.
     by_request: BTreeMap<String, Vec<MachineId>>,
     machines: BTreeMap<MachineId, (Rental, Arc<Worker>)>,
 }
@@ -54,8 +54,8 @@
 struct CloudHandler(Arc<CloudState>);
 
 impl FakeCloud {
-    /// Starts a cloud that can rent out `capacity` machines of one type. `lease` and
-    /// `heartbeat_interval` are those of the workers.
+    /// Starts a cloud that rents out up to `capacity` machines of one type at a time. The
+    /// workers on them use `heartbeat_interval` and `lease`.
     ///
     /// # Errors
     ///
@@ -65,7 +65,7 @@
         capacity: usize,
         heartbeat_interval: Duration,
         lease: Duration,
-        controllers: Controllers,
+        controllers: ControllerAddresses,
         invariants: Arc<InvariantChecker>,
     ) -> std::io::Result<FakeCloud> {
         let shared = Arc::new(CloudState {
@@ -86,10 +86,13 @@
         Ok(FakeCloud { addr, shared })
     }
 
-    /// The worker of a rented machine.
+    /// The worker of a machine; `None` if the machine is not rented.
     pub fn worker(&self, machine: &MachineId) -> Option<Arc<Worker>> {
         let rented = self.shared.rented.lock();
-        rented.machines.get(machine).map(|(_, w)| Arc::clone(w))
+        rented
+            .machines
+            .get(machine)
+            .map(|(_, worker)| Arc::clone(worker))
     }
 }
 
@@ -106,8 +109,8 @@
         }
         let mut machines = Vec::new();
         for _ in 0..count {
-            let machine = MachineId::from(format!("vm-{:06}", rented.next).as_str());
-            rented.next += 1;
+            let machine = MachineId::from(format!("vm-{:06}", rented.next_machine_number).as_str());
+            rented.next_machine_number += 1;
             let config = WorkerConfig {
                 machine: machine.clone(),
                 flavor: rental_request.flavor.clone(),
@@ -168,7 +171,11 @@
             },
             ("GET", "/rentals") => {
                 let rented = self.0.rented.lock();
-                let machines = rented.machines.values().map(|(r, _)| r.clone()).collect();
+                let machines = rented
+                    .machines
+                    .values()
+                    .map(|(rental, _)| rental.clone())
+                    .collect();
                 let more = false;
                 Response::cbor(200, &RentalPage { machines, more })
             }
--- a/crates/pulleywood-testkit/src/invariant_checker.rs
+++ b/crates/pulleywood-testkit/src/invariant_checker.rs
@@ -1,8 +1,8 @@
-//! An observer of the fakes that records broken rules, independently of the controllers.
+//! Observes the fakes and records violated invariants, independently of the controllers.
 //!
-//! It knows jobs as their users submitted them and tasks as the fake workers run them. It
-//! detects a task that runs twice, tasks of cancelled jobs, and teams above their GPU limit.
-//! It does not see the store or the controllers' answers, and does not check placement.
+//! The checker knows jobs as their users submitted them and tasks as the fake workers run them.
+//! It detects tasks that run twice, tasks of cancelled jobs that run, and teams above their GPU
+//! limit. It does not see the store or the controllers' responses, and does not check placement.
 
 use crate::history::{End, Event};
 use parking_lot::Mutex;
@@ -10,18 +10,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A submitted job.
+/// A submitted job and the state of its tasks.
 #[derive(Debug, Clone)]
 struct ObservedJob {
     spec: JobSpec,
-    run: Duration,
+    run_time: Duration,
+    /// Indexes of the tasks that have completed.
     done: BTreeSet<u32>,
-    cancelled: bool,
-    /// When its user got the answer that it is cancelled, and when no task may run any more.
-    cancel_answered: Option<(Instant, Instant)>,
+    /// Whether the job was cancelled and its tasks have ended, so that none may start.
+    starts_forbidden: bool,
+    /// When the user received the response that the job is cancelled, and the time after which
+    /// no task of it may run; `None` if it was not cancelled.
+    cancellation: Option<(Instant, Instant)>,
 }
 
-/// Observes jobs and tasks and records broken rules.
+/// Observes jobs and tasks, and records violated invariants.
 #[derive(Debug, Default)]
 pub struct InvariantChecker {
     state: Mutex<State>,
@@ -30,83 +33,89 @@
 #[derive(Debug, Default)]
 struct State {
     jobs: BTreeMap<JobId, ObservedJob>,
-    on: BTreeMap<TaskId, MachineId>,
-    starts: BTreeMap<TaskId, u32>,
-    limits: BTreeMap<String, f64>,
-    broken: Vec<String>,
+    /// The machine on which each running task runs.
+    running_on: BTreeMap<TaskId, MachineId>,
+    start_counts: BTreeMap<TaskId, u32>,
+    /// Maximum number of GPUs by team; teams without an entry have no limit.
+    gpu_limits: BTreeMap<String, f64>,
+    violations: Vec<String>,
     history: Vec<Event>,
-    began: Option<Instant>,
+    clock_origin: Option<Instant>,
 }
 
 impl State {
-    /// Milliseconds since the first event.
+    /// Milliseconds since the first call.
     fn elapsed_ms(&mut self) -> u64 {
-        let began = *self.began.get_or_insert_with(Instant::now);
-        began.elapsed().as_millis() as u64
+        let clock_origin = *self.clock_origin.get_or_insert_with(Instant::now);
+        clock_origin.elapsed().as_millis() as u64
     }
 
-    /// Records a violation if a task is on a machine too long after its job's cancellation.
+    /// Records a violation if a task is on a machine after the deadline of its job's
+    /// cancellation.
     fn check_cancelled(&mut self, task: &TaskId, machine: &MachineId) {
         let job = self.jobs.get(&task.job);
-        if let Some((answered, until)) = job.and_then(|j| j.cancel_answered)
-            && Instant::now() > until
+        if let Some((cancelled_at, deadline)) = job.and_then(|job| job.cancellation)
+            && Instant::now() > deadline
         {
-            let after = answered.elapsed().as_secs_f64();
-            let text = format!("ran_cancelled: {task} on {machine} {after:.1} s after");
-            self.broken.push(text);
+            let elapsed_s = cancelled_at.elapsed().as_secs_f64();
+            let violation = format!(
+                "ran_cancelled: {task} was on {machine} {elapsed_s:.1} s after its job's cancellation"
+            );
+            self.violations.push(violation);
         }
     }
 }
 
 impl InvariantChecker {
-    /// Expects a job that a user is about to submit, whose tasks run for `run`.
-    pub fn expect_job(&self, spec: JobSpec, run: Duration) {
-        let known = ObservedJob {
-            run,
+    /// Registers a job that a user is about to submit, whose tasks run for `run_time`.
+    pub fn expect_job(&self, spec: JobSpec, run_time: Duration) {
+        let job = ObservedJob {
+            run_time,
             done: BTreeSet::new(),
-            cancelled: false,
-            cancel_answered: None,
+            starts_forbidden: false,
+            cancellation: None,
             spec,
         };
-        let id = known.spec.id.clone();
-        self.state.lock().jobs.insert(id, known);
+        let id = job.spec.id.clone();
+        self.state.lock().jobs.insert(id, job);
     }
 
-    /// Sets the most GPUs that a team may use.
-    pub fn limit(&self, team: &str, gpus: f64) {
-        self.state.lock().limits.insert(team.to_owned(), gpus);
+    /// Sets the maximum number of GPUs that the tasks of a team may use at the same time.
+    pub fn set_gpu_limit(&self, team: &str, gpus: f64) {
+        self.state.lock().gpu_limits.insert(team.to_owned(), gpus);
     }
 
-    /// The job is cancelled and its tasks have ended: from now on none may start.
-    pub fn note_ended(&self, id: &JobId) {
+    /// Forbids further starts of a job's tasks, because it was cancelled and they have ended.
+    pub fn forbid_starts(&self, id: &JobId) {
         if let Some(job) = self.state.lock().jobs.get_mut(id) {
-            job.cancelled = true;
+            job.starts_forbidden = true;
         }
     }
 
-    /// The user got the answer that the job is cancelled: its tasks must end `within` this
-    /// time, and none may run later.
-    pub fn note_cancelled(&self, id: &JobId, within: Duration) {
+    /// Records that the user received the response that the job is cancelled. Its tasks must end
+    /// within the time `within`, and none may run later. Only the first call for a job counts.
+    pub fn record_cancellation(&self, id: &JobId, within: Duration) {
         let now = Instant::now();
         if let Some(job) = self.state.lock().jobs.get_mut(id) {
-            job.cancel_answered.get_or_insert((now, now + within));
+            job.cancellation.get_or_insert((now, now + within));
         }
     }
 
-    /// How long a task runs; `None` if there is no such task. Replicas of services run until
-    /// they are stopped, completed tasks not at all.
+    /// How long a task runs when it is launched; `None` if there is no such task. It is
+    /// [`Duration::MAX`] for replicas of services, which run until they are stopped, and zero
+    /// for tasks that have completed before.
     pub fn run_time(&self, task: &TaskId) -> Option<Duration> {
         let state = self.state.lock();
         let job = state.jobs.get(&task.job)?;
         (task.index < job.spec.tasks).then_some(match job.spec.shape {
             Shape::Service => Duration::MAX,
             _ if job.done.contains(&task.index) => Duration::ZERO,
-            _ => job.run,
+            _ => job.run_time,
         })
     }
 
-    /// Records that a task starts on a machine.
-    pub fn start(&self, task: &TaskId, attempt: Attempt, machine: &MachineId) {
+    /// Records that a task started on a machine, and checks all invariants of starts.
+    pub fn record_start(&self, task: &TaskId, attempt: Attempt, machine: &MachineId) {
         let mut state = self.state.lock();
         let event = Event::Start {
             at_ms: state.elapsed_ms(),
@@ -115,31 +124,45 @@
             machine: machine.clone(),
         };
         state.history.push(event);
-        if let Some(other) = state.on.get(task) {
-            let text = format!("ran_twice: {task} runs on {other}, starts on {machine}");
-            state.broken.push(text);
+        if let Some(other) = state.running_on.get(task) {
+            let violation =
+                format!("ran_twice: {task} started on {machine} while it ran on {other}");
+            state.violations.push(violation);
         }
-        if state.jobs.get(&task.job).is_some_and(|j| j.cancelled) {
-            state.broken.push(format!("ran_cancelled: {task}"));
+        if state
+            .jobs
+            .get(&task.job)
+            .is_some_and(|job| job.starts_forbidden)
+        {
+            let violation = format!(
+                "ran_cancelled: {task} started on {machine} after its cancelled job had ended"
+            );
+            state.violations.push(violation);
         }
         state.check_cancelled(task, machine);
-        state.on.insert(task.clone(), machine.clone());
-        *state.starts.entry(task.clone()).or_default() += 1;
-        let mut used: BTreeMap<String, f64> = BTreeMap::new();
-        for task in state.on.keys() {
+        state.running_on.insert(task.clone(), machine.clone());
+        *state.start_counts.entry(task.clone()).or_default() += 1;
+        let mut used_gpus_by_team: BTreeMap<String, f64> = BTreeMap::new();
+        for task in state.running_on.keys() {
             if let Some(job) = state.jobs.get(&task.job) {
-                *used.entry(job.spec.team.clone()).or_default() += job.spec.gpus.0;
+                *used_gpus_by_team.entry(job.spec.team.clone()).or_default() += job.spec.gpus.0;
             }
         }
-        for (team, gpus) in used {
-            if state.limits.get(&team).is_some_and(|limit| gpus > *limit) {
-                state.broken.push(format!("quota: {team} uses {gpus} GPUs"));
+        for (team, used_gpus) in used_gpus_by_team {
+            if let Some(limit) = state
+                .gpu_limits
+                .get(&team)
+                .filter(|limit| used_gpus > **limit)
+            {
+                let violation =
+                    format!("quota: team {team} uses {used_gpus} GPUs, its limit is {limit}");
+                state.violations.push(violation);
             }
         }
     }
 
-    /// Records that a worker has forgotten a task that completed on its machine.
-    pub fn forget(&self, task: &TaskId, machine: &MachineId) {
+    /// Records that a worker lost the result of a task that had completed on its machine.
+    pub fn record_forgotten(&self, task: &TaskId, machine: &MachineId) {
         self.state.lock().history.push(Event::Forgotten {
             task: task.clone(),
             machine: machine.clone(),
@@ -147,7 +170,7 @@
     }
 
     /// Records how a task ended on a machine.
-    pub fn end(&self, task: &TaskId, machine: &MachineId, end: End) {
+    pub fn record_end(&self, task: &TaskId, machine: &MachineId, end: End) {
         let mut state = self.state.lock();
         let event = Event::End {
             at_ms: state.elapsed_ms(),
@@ -157,8 +180,8 @@
         };
         state.history.push(event);
         state.check_cancelled(task, machine);
-        if state.on.get(task) == Some(machine) {
-            state.on.remove(task);
+        if state.running_on.get(task) == Some(machine) {
+            state.running_on.remove(task);
         }
         if end == End::Done
             && let Some(job) = state.jobs.get_mut(&task.job)
@@ -173,43 +196,50 @@
         state
             .jobs
             .get(id)
-            .is_some_and(|j| j.done.len() as u32 == j.spec.tasks)
+            .is_some_and(|job| job.done.len() as u32 == job.spec.tasks)
     }
 
-    /// Tasks of a job that are on machines.
-    pub fn running(&self, id: &JobId) -> usize {
+    /// Number of tasks of a job that run.
+    pub fn running_tasks(&self, id: &JobId) -> usize {
         let state = self.state.lock();
-        state.on.keys().filter(|t| &t.job == id).count()
+        state
+            .running_on
+            .keys()
+            .filter(|task| &task.job == id)
+            .count()
     }
 
-    /// Tasks of all jobs that are on machines.
-    pub fn on_machines(&self) -> usize {
-        self.state.lock().on.len()
+    /// Number of tasks of all jobs that run.
+    pub fn all_running_tasks(&self) -> usize {
+        self.state.lock().running_on.len()
     }
 
     /// Machines that run tasks of a job.
     pub fn machines_of(&self, id: &JobId) -> BTreeSet<MachineId> {
         let state = self.state.lock();
-        let on = state.on.iter().filter(|(t, _)| &t.job == id);
-        on.map(|(_, m)| m.clone()).collect()
+        let running = state.running_on.iter().filter(|(task, _)| &task.job == id);
+        running.map(|(_, machine)| machine.clone()).collect()
     }
 
-    /// Number of starts of a job's tasks, repeated ones included.
-    pub fn starts(&self, id: &JobId) -> u32 {
+    /// Number of starts of a job's tasks, including repeated starts of the same task.
+    pub fn start_count(&self, id: &JobId) -> u32 {
         let state = self.state.lock();
-        let starts = state.starts.iter().filter(|(t, _)| &t.job == id);
-        starts.map(|(_, count)| count).sum()
+        let start_counts = state
+            .start_counts
+            .iter()
+            .filter(|(task, _)| &task.job == id);
+        start_counts.map(|(_, count)| count).sum()
     }
 
-    /// The events so far, and the time now, in milliseconds since the first event.
+    /// The events so far, and the current time in milliseconds on their clock.
     pub fn history(&self) -> (Vec<Event>, u64) {
         let mut state = self.state.lock();
         let now = state.elapsed_ms();
         (state.history.clone(), now)
     }
 
-    /// The rules broken so far.
-    pub fn broken(&self) -> Vec<String> {
-        self.state.lock().broken.clone()
+    /// Descriptions of the violations so far, in the order in which they were detected.
+    pub fn violations(&self) -> Vec<String> {
+        self.state.lock().violations.clone()
     }
 }
--- a/crates/pulleywood-testkit/src/lib.rs
+++ b/crates/pulleywood-testkit/src/lib.rs
@@ -1,13 +1,13 @@
-//! Fakes of the store, the cloud and the workers for tests, written from the protocol and
-//! with faults that a test switches on.
+//! Fakes of the store, the cloud and the workers for tests. They implement the protocol and
+//! have faults that a test can switch on.
 //!
-//! - [`store`], [`cloud`], [`worker`], [`proxy`]: fakes in this process that real controllers
-//!   reach over loopback;
-//! - [`invariant_checker`]: records tasks as workers run them, and broken rules, independently
-//!   of the controllers;
-//! - [`history`]: a check of a complete record of task events;
-//! - [`virtual_cluster`]: a whole cluster in virtual time, without sockets or threads;
-//! - [`samples`]: settings and a job for tests of decisions.
+//! - [`store`], [`cloud`], [`worker`], [`proxy`]: fakes in the test's process that real
+//!   controllers reach over loopback;
+//! - [`invariant_checker`]: records tasks as workers run them, and violated invariants,
+//!   independently of the controllers;
+//! - [`history`]: checks a complete history of task events;
+//! - [`virtual_cluster`]: simulates a whole cluster in virtual time, without sockets or threads;
+//! - [`samples`]: sample settings, jobs and records for tests of the scheduler's decisions.
 
 pub mod cloud;
 pub mod history;
@@ -25,12 +25,12 @@
 
 use std::net::SocketAddr;
 
-/// Loopback with port 0: the system chooses a free port.
+/// The loopback address with port 0, for which the operating system chooses a free port.
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// The value of a query parameter, undecoded.
+/// The value of a query parameter, without percent-decoding; `None` if it is missing.
 fn query<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
--- a/crates/pulleywood-testkit/src/proxy.rs
+++ b/crates/pulleywood-testkit/src/proxy.rs
@@ -1,8 +1,8 @@
-//! A TCP proxy between two controllers that can be cut.
+//! A TCP proxy between two controllers, which a test can cut to simulate a partition.
 //!
-//! It promises to pass bytes on unchanged and in order, and to close its connections
-//! shortly after a cut. It does not imitate delay, loss of single messages, or a partition in which
-//! connections hang without being closed.
+//! It forwards bytes unchanged and in order, and closes its connections shortly after it is
+//! cut. Delays, the loss of single messages, and partitions in which connections stay open
+//! without an answer are not simulated.
 
 use crate::loopback;
 use std::io::{Read, Write};
@@ -14,13 +14,13 @@
 /// Forwards connections to one address until it is cut.
 #[derive(Debug)]
 pub struct CuttableProxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub addr: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
 impl CuttableProxy {
-    /// Starts a proxy to the address `to`.
+    /// Starts a proxy that forwards connections to the address `to`.
     ///
     /// # Errors
     ///
@@ -39,28 +39,31 @@
         Ok(CuttableProxy { addr, cut })
     }
 
-    /// Cuts the connection, or restores it for new connections.
+    /// Cuts all connections and refuses new ones, or accepts new ones again.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 }
 
-/// Connects to `to` and copies in both directions until either side closes or the cut.
-fn forward(from: TcpStream, to: SocketAddr, cut: &Arc<AtomicBool>) {
+/// Connects to `to` and copies bytes in both directions until either side closes or the proxy
+/// is cut.
+fn forward(incoming: TcpStream, to: SocketAddr, cut: &Arc<AtomicBool>) {
     if cut.load(Ordering::Relaxed) {
         return;
     }
-    let Ok(onward) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
+    let Ok(outgoing) = TcpStream::connect_timeout(&to, Duration::from_secs(1)) else {
         return;
     };
-    let (Ok(back_from), Ok(back_to)) = (onward.try_clone(), from.try_clone()) else {
+    let (Ok(return_from), Ok(return_to)) = (outgoing.try_clone(), incoming.try_clone()) else {
         return;
     };
-    let cut_back = Arc::clone(cut);
-    std::thread::spawn(move || copy(back_from, back_to, &cut_back));
-    copy(from, onward, cut);
+    let return_cut = Arc::clone(cut);
+    std::thread::spawn(move || copy(return_from, return_to, &return_cut));
+    copy(incoming, outgoing, cut);
 }
 
+/// Copies bytes in one direction until either side closes or the proxy is cut, and then closes
+/// both connections.
 fn copy(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut chunk = [0; 4096];
     let _ = from.set_read_timeout(Some(Duration::from_millis(50)));
@@ -72,9 +75,9 @@
                     break;
                 }
             }
-            Err(e)
+            Err(error)
                 if matches!(
-                    e.kind(),
+                    error.kind(),
                     std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
                 ) => {}
             Err(_) => break,
--- a/crates/pulleywood-testkit/src/samples.rs
+++ b/crates/pulleywood-testkit/src/samples.rs
@@ -1,5 +1,5 @@
-//! Settings, a job, and a job's and a machine's record for tests of decisions; a test changes
-//! the fields that matter to it.
+//! Sample settings, job specifications, and records of jobs and machines for tests of the
+//! scheduler's decisions. A test changes the fields that matter to it.
 
 use pulleywood_protocol::cbor::Amount;
 use pulleywood_protocol::cloud::Flavor;
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One machine type of 16 processors and four GPUs in two zones, one team without guarantee or
-/// limit, a heartbeat every second and leases of ten seconds.
+/// Settings with one machine type of 16 CPUs and four GPUs in two zones, one team without
+/// guarantee or limit, a heartbeat interval of one second and worker leases of ten seconds.
 pub fn config(shards: u32) -> Config {
     let flavor = Flavor {
         label: "g4".into(),
@@ -57,7 +57,8 @@
     }
 }
 
-/// An array job whose tasks each take a quarter of a machine of [`config`].
+/// An array job whose tasks each need a quarter of the CPUs and GPUs of a machine of
+/// [`config`].
 pub fn spec(id: JobId, tasks: u32) -> JobSpec {
     JobSpec {
         id,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The record of a job of shard 0 that was just accepted.
+/// The record of a newly accepted job, whose tasks belong to shard 0.
 pub fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
@@ -94,8 +95,8 @@
     }
 }
 
-/// The record of a machine of the type of [`config`] in zone `a`, without images, that
-/// follows its shard's fencing token.
+/// The record of a machine of the type in [`config`], in zone `a` and without images. Its
+/// fencing token of 0 means that the token of its shard applies.
 pub fn machine_record(shard: ShardId) -> MachineRecord {
     MachineRecord {
         shard,
--- a/crates/pulleywood-testkit/src/store/endpoint.rs
+++ b/crates/pulleywood-testkit/src/store/endpoint.rs
@@ -1,6 +1,6 @@
-//! The HTTP interface of the fake store, one address and one fault setting for each controller.
+//! The HTTP interface of the fake store, with one address and one fault for each controller.
 
-use super::Service;
+use super::SharedState;
 use super::keys::Keys;
 use crate::query;
 use parking_lot::Mutex;
@@ -16,60 +16,61 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A fault between one controller and the store.
+/// A fault of the connection between one controller and the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// No fault.
     None,
-    /// Requests are refused with 503 and not executed.
+    /// Requests are refused with status 503 and not executed.
     Refuse,
-    /// Requests are not executed, and get no answer before the caller's timeout.
-    Cut,
-    /// Transactions are executed, and their answers are lost.
-    LoseAnswers,
-    /// Transactions are executed this many milliseconds later, and their answers are lost.
+    /// Requests are not executed, and get no response before the caller's timeout.
+    NoAnswer,
+    /// Transactions are executed, but their responses are lost.
+    LoseResponses,
+    /// Transactions are executed after this many milliseconds, and their responses are lost.
     Late(u64),
-    /// [`Fault::Late`] for every second transaction, so that newer ones are executed before
-    /// older ones.
-    SomeLate(u64),
-    /// Requests are executed and answered this many milliseconds later.
+    /// [`Fault::Late`] for every second transaction, in milliseconds, so that newer transactions
+    /// are executed before older ones.
+    EverySecondLate(u64),
+    /// Requests are executed and answered after a delay of this many milliseconds. A watch may
+    /// wait for its events in addition.
     Slow(u64),
 }
 
-/// One controller's address of the store, which can be made to fail.
+/// The address at which one controller reaches the store, and its fault.
 #[derive(Debug, Clone)]
 pub struct StoreEndpoint {
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub addr: SocketAddr,
     pub(super) fault: Arc<Mutex<Fault>>,
 }
 
 impl StoreEndpoint {
-    /// Sets the fault from now on.
-    pub fn set(&self, fault: Fault) {
+    /// Replaces the fault; it applies to requests that arrive from now on.
+    pub fn set_fault(&self, fault: Fault) {
         *self.fault.lock() = fault;
     }
 }
 
 /// Handles the requests of one endpoint.
 pub struct EndpointHandler {
-    pub service: Arc<Service>,
+    pub shared: Arc<SharedState>,
     pub fault: Arc<Mutex<Fault>>,
 }
 
 impl EndpointHandler {
     fn execute(&self, request: &Request<'_>) -> Response {
-        let mut store = self.service.keys.lock();
-        store.expire(Instant::now());
+        let mut store = self.shared.keys.lock();
+        store.expire_leases(Instant::now());
         let response = match (request.method, request.path) {
             ("GET", "/store") => list(&store, request.query),
             ("GET", path) if path.starts_with("/store/") => get(&store, &path["/store/".len()..]),
             ("POST", "/commit") => self.commit(&mut store, request.body),
             ("POST", "/grants") => grant_lease(&mut store, request.body),
-            (method, path) => lease(&mut store, method, path),
+            (method, path) => renew_or_revoke_lease(&mut store, method, path),
         };
         drop(store);
-        self.service.changed.notify_all();
+        self.shared.changed.notify_all();
         response
     }
 
@@ -80,33 +81,36 @@
         let response = store.commit(&transaction);
         if response.status == 200 {
             let writes = transaction.writes.len() as u64;
-            self.service.writes.fetch_add(writes, Ordering::Relaxed);
+            self.shared.write_count.fetch_add(writes, Ordering::Relaxed);
         }
         response
     }
 
-    /// A long poll for events. It is not answered while requests are refused or cut.
+    /// Answers a long poll for events. No response is sent under [`Fault::Refuse`] or
+    /// [`Fault::NoAnswer`], even if the fault was set after the request had arrived.
     fn watch(&self, request: &Request<'_>) -> Response {
-        let number = |name| query(request.query, name).and_then(|v| v.parse::<u64>().ok());
-        let from = number("from").unwrap_or(0);
-        let end = Instant::now() + Duration::from_millis(number("wait_ms").unwrap_or(0));
-        let starts = query(request.query, "starts").unwrap_or("");
-        let mut store = self.service.keys.lock();
+        let number_parameter =
+            |name| query(request.query, name).and_then(|v| v.parse::<u64>().ok());
+        let after = number_parameter("from").unwrap_or(0);
+        let deadline =
+            Instant::now() + Duration::from_millis(number_parameter("wait_ms").unwrap_or(0));
+        let prefix = query(request.query, "starts").unwrap_or("");
+        let mut store = self.shared.keys.lock();
         loop {
-            store.expire(Instant::now());
+            store.expire_leases(Instant::now());
             let events: Vec<Event> = store
-                .log
+                .events
                 .iter()
-                .filter(|e| e.revision.0 > from)
-                .filter(|e| {
-                    let key = e.write.as_ref().or(e.delete.as_ref());
-                    key.is_some_and(|k| k.starts_with(starts))
+                .filter(|event| event.revision.0 > after)
+                .filter(|event| {
+                    let key = event.write.as_ref().or(event.delete.as_ref());
+                    key.is_some_and(|key| key.starts_with(prefix))
                 })
                 .cloned()
                 .collect();
             let now = Instant::now();
-            let unavailable = matches!(*self.fault.lock(), Fault::Refuse | Fault::Cut);
-            if !unavailable && (!events.is_empty() || now >= end) {
+            let unavailable = matches!(*self.fault.lock(), Fault::Refuse | Fault::NoAnswer);
+            if !unavailable && (!events.is_empty() || now >= deadline) {
                 let store_revision = store.store_revision;
                 return Response::cbor(
                     200,
@@ -116,8 +120,8 @@
                     },
                 );
             }
-            let wait = Duration::from_millis(50);
-            self.service.changed.wait_for(&mut store, wait);
+            let poll_interval = Duration::from_millis(50);
+            self.shared.changed.wait_for(&mut store, poll_interval);
         }
     }
 }
@@ -133,24 +137,24 @@
 }
 
 fn grant_lease(store: &mut Keys, body: &[u8]) -> Response {
-    let Ok(ttl) = cbor::decode::<Ttl>(body) else {
+    let Ok(lease_request) = cbor::decode::<Ttl>(body) else {
         return Response::status(400);
     };
-    let ttl = Duration::from_millis(ttl.ttl_ms);
-    store.next_lease += 1;
-    let lease_id = LeaseId(store.next_lease);
+    let ttl = Duration::from_millis(lease_request.ttl_ms);
+    store.last_lease_id += 1;
+    let lease_id = LeaseId(store.last_lease_id);
     store.leases.insert(lease_id, (Instant::now() + ttl, ttl));
     Response::cbor(200, &LeaseGranted { lease_id })
 }
 
-fn list(store: &Keys, text: &str) -> Response {
-    let starts = query(text, "starts").unwrap_or("");
-    let from = query(text, "from").unwrap_or("");
+fn list(store: &Keys, parameters: &str) -> Response {
+    let prefix = query(parameters, "starts").unwrap_or("");
+    let after = query(parameters, "from").unwrap_or("");
     let items: Vec<Item> = store
         .keys
         .keys()
-        .filter(|k| k.starts_with(starts) && k.as_str() > from)
-        .filter_map(|k| store.item(k))
+        .filter(|key| key.starts_with(prefix) && key.as_str() > after)
+        .filter_map(|key| store.item(key))
         .collect();
     let (more, store_revision) = (false, store.store_revision);
     Response::cbor(
@@ -163,22 +167,23 @@
     )
 }
 
-fn lease(store: &mut Keys, method: &str, path: &str) -> Response {
+/// Executes a request to `/grants/ID/renew` (POST) or `/grants/ID` (DELETE).
+fn renew_or_revoke_lease(store: &mut Keys, method: &str, path: &str) -> Response {
     let rest = path.strip_prefix("/grants/").unwrap_or("");
-    let (id, verb) = rest.split_once('/').unwrap_or((rest, ""));
+    let (id, operation) = rest.split_once('/').unwrap_or((rest, ""));
     let Ok(id) = id.parse().map(LeaseId) else {
         return Response::status(404);
     };
-    match (method, verb) {
+    match (method, operation) {
         ("POST", "renew") => match store.leases.get_mut(&id) {
-            Some((end, ttl)) => {
-                *end = Instant::now() + *ttl;
+            Some((expires_at, ttl)) => {
+                *expires_at = Instant::now() + *ttl;
                 Response::cbor(200, &BTreeMap::<String, u64>::new())
             }
             None => Response::status(404),
         },
         ("DELETE", "") => {
-            if store.end(id) {
+            if store.revoke_lease(id) {
                 Response::cbor(200, &BTreeMap::<String, u64>::new())
             } else {
                 Response::status(404)
@@ -188,57 +193,60 @@
     }
 }
 
-/// Longer than any controller's timeout.
-const NO_ANSWER: Duration = Duration::from_secs(6);
+/// Delay of a response that is meant to arrive too late; longer than any controller's timeout.
+const NO_ANSWER_DELAY: Duration = Duration::from_secs(6);
 
-fn no_answer() -> Response {
-    std::thread::sleep(NO_ANSWER);
+/// Responds with status 503, but only after the timeout of any caller.
+fn exceed_client_timeout() -> Response {
+    std::thread::sleep(NO_ANSWER_DELAY);
     Response::status(503)
 }
 
 impl EndpointHandler {
-    /// Executes a request after a delay; its answer is lost.
+    /// Executes a request after a delay, and responds only after the caller's timeout.
     fn execute_unanswered(&self, request: &Request<'_>, delay: Duration) -> Response {
         std::thread::sleep(delay);
         self.execute(request);
-        no_answer()
+        exceed_client_timeout()
     }
 
-    /// Counts a transaction; whether it is one of every two.
+    /// Counts a transaction, and returns whether it is the first, third, fifth and so on.
     fn is_every_second_commit(&self) -> bool {
-        let commits = &self.service.commits;
-        commits.fetch_add(1, Ordering::Relaxed).is_multiple_of(2)
+        let commit_count = &self.shared.commit_count;
+        commit_count
+            .fetch_add(1, Ordering::Relaxed)
+            .is_multiple_of(2)
     }
 }
 
 impl Handler for EndpointHandler {
     fn handle(&self, request: &Request<'_>) -> Response {
         let fault = *self.fault.lock();
-        let transaction = request.path == "/commit";
+        let is_commit = request.path == "/commit";
         match fault {
             Fault::Refuse => return Response::status(503),
-            Fault::Cut => return no_answer(),
-            Fault::LoseAnswers if transaction => {
+            Fault::NoAnswer => return exceed_client_timeout(),
+            Fault::LoseResponses if is_commit => {
                 return self.execute_unanswered(request, Duration::ZERO);
             }
-            Fault::Late(ms) if transaction => {
+            Fault::Late(ms) if is_commit => {
                 return self.execute_unanswered(request, Duration::from_millis(ms));
             }
-            Fault::SomeLate(ms) if transaction && self.is_every_second_commit() => {
+            Fault::EverySecondLate(ms) if is_commit && self.is_every_second_commit() => {
                 return self.execute_unanswered(request, Duration::from_millis(ms));
             }
             Fault::Slow(ms) => std::thread::sleep(Duration::from_millis(ms)),
             _ => {}
         }
-        let watch = request.path == "/follow";
-        let at_once = watch && query(request.query, "wait_ms") == Some("0");
-        let of_a_job = ["/store/c/job/", "/store/closed/"]
+        let is_watch = request.path == "/follow";
+        let is_immediate_watch = is_watch && query(request.query, "wait_ms") == Some("0");
+        let is_job_read = ["/store/c/job/", "/store/closed/"]
             .iter()
             .any(|p| request.path.starts_with(p));
-        if at_once || of_a_job {
-            self.service.reads.fetch_add(1, Ordering::Relaxed);
+        if is_immediate_watch || is_job_read {
+            self.shared.user_read_count.fetch_add(1, Ordering::Relaxed);
         }
-        if watch {
+        if is_watch {
             return self.watch(request);
         }
         self.execute(request)
--- a/crates/pulleywood-testkit/src/store/keys.rs
+++ b/crates/pulleywood-testkit/src/store/keys.rs
@@ -1,5 +1,5 @@
-//! The state of the fake store: keys, revisions, leases and the log of events, as the protocol
-//! defines them.
+//! The state of the fake store: keys, revisions, leases and events, as the protocol defines
+//! them.
 
 use pulleywood_protocol::cbor::Value;
 use pulleywood_protocol::store::{Event, Item, StoreRevision, Transaction, Write};
@@ -9,25 +9,30 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The value of a key.
+/// The value, revision and lease of a key.
 #[derive(Debug, Clone)]
 pub struct Entry {
     pub value: Value,
+    /// Store revision of the last write.
     pub revision: Revision,
+    /// The lease to which the key is attached; `None` if it is kept until deleted.
     pub lease_id: Option<LeaseId>,
 }
 
-/// All keys, leases and events.
+/// All keys and leases, and the events so far.
 #[derive(Debug, Default)]
 pub struct Keys {
     pub store_revision: u64,
     pub keys: BTreeMap<String, Entry>,
+    /// Expiry time and time-to-live of each lease.
     pub leases: BTreeMap<LeaseId, (Instant, Duration)>,
-    pub next_lease: u64,
-    pub log: Vec<Event>,
+    /// The last lease id given out; 0 if none was.
+    pub last_lease_id: u64,
+    /// All writes and deletions, oldest first.
+    pub events: Vec<Event>,
 }
 
-/// The body of the answer to a transaction whose compares do not all hold.
+/// Body of the response to a transaction of which a compare failed.
 #[derive(Serialize)]
 struct Conflict {
     failed: Vec<String>,
@@ -36,29 +41,29 @@
 }
 
 impl Keys {
-    /// Ends the leases that have expired and deletes their keys.
-    pub fn expire(&mut self, now: Instant) {
-        let ended: Vec<LeaseId> = self
+    /// Revokes the leases that have expired at `now`.
+    pub fn expire_leases(&mut self, now: Instant) {
+        let expired: Vec<LeaseId> = self
             .leases
             .iter()
-            .filter(|(_, (end, _))| *end <= now)
+            .filter(|(_, (expires_at, _))| *expires_at <= now)
             .map(|(lease_id, _)| *lease_id)
             .collect();
-        for lease_id in &ended {
-            self.end(*lease_id);
+        for lease_id in &expired {
+            self.revoke_lease(*lease_id);
         }
     }
 
-    /// Ends a lease and deletes its keys. Returns whether the lease existed.
-    pub fn end(&mut self, lease_id: LeaseId) -> bool {
+    /// Ends a lease and deletes the keys attached to it. Returns whether the lease existed.
+    pub fn revoke_lease(&mut self, lease_id: LeaseId) -> bool {
         if self.leases.remove(&lease_id).is_none() {
             return false;
         }
         let attached: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, e)| e.lease_id == Some(lease_id))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, entry)| entry.lease_id == Some(lease_id))
+            .map(|(key, _)| key.clone())
             .collect();
         for key in attached {
             self.store_revision += 1;
@@ -69,7 +74,7 @@
 
     fn remove(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            self.log.push(Event {
+            self.events.push(Event {
                 write: None,
                 delete: Some(key.to_owned()),
                 value: None,
@@ -78,8 +83,8 @@
         }
     }
 
-    /// Executes a transaction if all its compares hold: status 200, 409 if one does not, 400
-    /// for an unknown lease.
+    /// Executes a transaction. The status is 200 if all its compares hold, 409 if one fails, and
+    /// 400 if it attaches a key to an unknown lease; with 409 and 400 nothing is written.
     pub fn commit(&mut self, transaction: &Transaction) -> Response {
         if !self.leases_exist(transaction) {
             return Response::cbor(400, &BTreeMap::from([("error", "no such lease")]));
@@ -113,7 +118,11 @@
     }
 
     fn failed_compares(&self, transaction: &Transaction) -> Vec<String> {
-        let revision = |key: &str| self.keys.get(key).map_or(Revision(0), |e| e.revision);
+        let revision = |key: &str| {
+            self.keys
+                .get(key)
+                .map_or(Revision(0), |entry| entry.revision)
+        };
         let compares = transaction.compares.iter();
         let failed = compares.filter(|c| revision(&c.path) != c.revision);
         failed.map(|c| c.path.clone()).collect()
@@ -132,7 +141,7 @@
                     lease_id: *lease_id,
                 };
                 self.keys.insert(key.clone(), entry);
-                self.log.push(Event {
+                self.events.push(Event {
                     write: Some(key.clone()),
                     delete: None,
                     value: Some(value.clone()),
@@ -143,7 +152,7 @@
         }
     }
 
-    /// A key with its value, revision and lease.
+    /// Returns a key with its value, revision and lease; `None` if there is no such key.
     pub fn item(&self, key: &str) -> Option<Item> {
         let entry = self.keys.get(key)?;
         Some(Item {
--- a/crates/pulleywood-testkit/src/store/mod.rs
+++ b/crates/pulleywood-testkit/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! A fake of the store, in memory, on loopback.
+//! A fake of the state service that keeps its data in memory and listens on loopback.
 //!
-//! It promises the protocol's semantics of keys, revisions, leases, transactions and watches,
-//! and separate faults for each controller ([`Fault`]). It does not imitate replication, rate
-//! limits or size limits, and a list is one page.
+//! It implements keys, revisions, leases, transactions and watches as the protocol defines
+//! them, and a separate [`Fault`] for each controller. Replication, rate limits and size limits
+//! are not simulated, and a list is always a single page.
 
 mod endpoint;
 mod keys;
@@ -22,29 +22,32 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-/// A copy of all keys.
+/// A copy of all keys at one point in time.
 #[derive(Debug, Clone)]
 pub struct Backup(BTreeMap<String, Entry>);
 
-/// The fake store. Each controller reaches it through its own endpoint.
+/// The fake store. Each controller connects to it through an endpoint of its own.
 #[derive(Debug, Clone, Default)]
 pub struct FakeStore {
-    service: Arc<Service>,
+    shared: Arc<SharedState>,
 }
 
-/// What all endpoints share.
+/// State that all endpoints share.
 #[derive(Debug, Default)]
-struct Service {
+struct SharedState {
     keys: Mutex<Keys>,
+    /// Notified after each request, so that waiting watches look for new events.
     changed: Condvar,
-    /// Reads of single jobs, and watches that do not wait.
-    reads: AtomicU64,
-    commits: AtomicU64,
-    writes: AtomicU64,
+    /// Number of reads of single jobs and of watches that do not wait.
+    user_read_count: AtomicU64,
+    /// Number of transactions that arrived under [`Fault::EverySecondLate`].
+    commit_count: AtomicU64,
+    /// Number of puts and deletes in the applied transactions.
+    write_count: AtomicU64,
 }
 
 impl FakeStore {
-    /// Opens an endpoint for another controller.
+    /// Opens an endpoint without a fault for one controller.
     ///
     /// # Errors
     ///
@@ -52,49 +55,49 @@
     pub fn endpoint(&self) -> std::io::Result<StoreEndpoint> {
         let fault = Arc::new(Mutex::new(Fault::None));
         let handler = EndpointHandler {
-            service: Arc::clone(&self.service),
+            shared: Arc::clone(&self.shared),
             fault: Arc::clone(&fault),
         };
         let addr = serve(loopback(), Limits::thread_each(64), handler)?.address;
         Ok(StoreEndpoint { addr, fault })
     }
 
-    /// Renews all leases for their full time, as the store does after an outage.
+    /// Renews all leases for their full time-to-live, as the store does after an outage.
     pub fn extend_leases(&self) {
         let now = Instant::now();
-        for (end, ttl) in self.service.keys.lock().leases.values_mut() {
-            *end = now + *ttl;
+        for (expires_at, ttl) in self.shared.keys.lock().leases.values_mut() {
+            *expires_at = now + *ttl;
         }
     }
 
-    /// Number of reads of single jobs and of watches that do not wait: the reads that users'
-    /// requests cause.
-    pub fn reads(&self) -> u64 {
-        self.service.reads.load(Ordering::Relaxed)
+    /// Number of reads of single jobs and of watches that do not wait so far. These are the
+    /// reads that requests of users cause.
+    pub fn user_reads(&self) -> u64 {
+        self.shared.user_read_count.load(Ordering::Relaxed)
     }
 
-    /// Number of puts and deletes executed.
+    /// Number of puts and deletes executed so far by transactions.
     pub fn writes(&self) -> u64 {
-        self.service.writes.load(Ordering::Relaxed)
+        self.shared.write_count.load(Ordering::Relaxed)
     }
 
-    /// Copies all keys.
+    /// Copies all keys with their values, revisions and leases.
     pub fn backup(&self) -> Backup {
-        Backup(self.service.keys.lock().keys.clone())
+        Backup(self.shared.keys.lock().keys.clone())
     }
 
-    /// Replaces all keys by those of a backup, without the keys attached to leases. All leases
-    /// end, and watches get no event.
+    /// Replaces all keys with those of a backup, except for keys attached to a lease. All
+    /// leases end, and watches receive no events.
     pub fn restore(&self, backup: &Backup) {
-        let mut store = self.service.keys.lock();
+        let mut store = self.shared.keys.lock();
         store.keys = backup.0.clone();
         store.keys.retain(|_, entry| entry.lease_id.is_none());
         store.leases.clear();
     }
 
-    /// Writes a key without an event, as if the watch had lost it.
-    pub fn put_unseen<T: Serialize>(&self, key: &str, value: &T) {
-        let mut store = self.service.keys.lock();
+    /// Writes a key without an event, as if the watch had lost the event.
+    pub fn put_without_event<T: Serialize>(&self, key: &str, value: &T) {
+        let mut store = self.shared.keys.lock();
         store.store_revision += 1;
         let entry = Entry {
             value: cbor::to_value(value),
@@ -104,20 +107,20 @@
         store.keys.insert(key.to_owned(), entry);
     }
 
-    /// The values of all keys with a prefix.
+    /// Values of all keys with the prefix, in the order of the keys.
     pub fn values(&self, prefix: &str) -> Vec<Value> {
-        let store = self.service.keys.lock();
-        let below = store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
-        below.map(|(_, e)| e.value.clone()).collect()
+        let store = self.shared.keys.lock();
+        let matching = store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
+        matching.map(|(_, entry)| entry.value.clone()).collect()
     }
 
-    /// All keys with a prefix.
+    /// All keys with the prefix, sorted.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let store = self.service.keys.lock();
+        let store = self.shared.keys.lock();
         store
             .keys
             .keys()
-            .filter(|k| k.starts_with(prefix))
+            .filter(|key| key.starts_with(prefix))
             .cloned()
             .collect()
     }
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -1,11 +1,11 @@
-//! A fake of a worker, on loopback.
+//! A fake of a worker that listens on loopback.
 //!
-//! It promises heartbeats with rising sequence numbers, redirects followed, launches, stops and
-//! clears executed under a fencing token at least as high as any seen before, and the end of
-//! all tasks and a new incarnation when its lease expires. It tells the [`InvariantChecker`] of
-//! each start and end. It does not imitate image fetches, checkpoints, failing tasks,
-//! preemption notices or clock drift: a launched task runs at once and completes after its run
-//! time.
+//! It sends heartbeats with rising sequence numbers and follows redirects. It executes launch,
+//! stop and clear commands whose fencing token is at least as high as any that it has seen.
+//! When its lease expires, it loses all tasks and begins a new incarnation. It reports each
+//! start and end of a task to the [`InvariantChecker`]. Image fetches, checkpoints, failing
+//! tasks, preemption notices and clock drift are not simulated: a launched task runs at once
+//! and completes after its run time.
 
 use crate::history::End;
 use crate::invariant_checker::InvariantChecker;
@@ -24,22 +24,22 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Settings of a worker.
+/// Settings of a fake worker.
 #[derive(Debug, Clone)]
 pub struct WorkerConfig {
-    /// Its machine's name.
+    /// Identifier of its machine.
     pub machine: MachineId,
-    /// Its machine type.
+    /// Name of its machine's type.
     pub flavor: String,
-    /// Its zone.
+    /// Zone of its machine.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether its machine is a spot machine.
     pub spot: bool,
-    /// Time between two heartbeats.
+    /// Time between a response, or a failed attempt, and the next heartbeat.
     pub heartbeat_interval: Duration,
-    /// How long it keeps its tasks without an accepted answer.
+    /// Time without an accepted response after which it loses its tasks.
     pub lease: Duration,
-    /// All controllers.
+    /// Names and addresses of all controllers. The list may change while the worker runs.
     pub controllers: Arc<Mutex<Vec<(MemberId, SocketAddr)>>>,
 }
 
@@ -47,7 +47,8 @@
 struct Task {
     task: TaskId,
     attempt: Attempt,
-    ends: Option<Instant>,
+    /// When it completes; `None` for replicas of services and for tasks that never ran.
+    ends_at: Option<Instant>,
     exit: Option<Cause>,
 }
 
@@ -57,25 +58,26 @@
     seq: u64,
     fencing_token: FencingToken,
     tasks: Vec<Task>,
-    renewed: Instant,
+    /// When the last heartbeat with an accepted response was sent, or the last lease expired.
+    lease_renewed_at: Instant,
 }
 
-/// A running worker.
+/// A running fake worker, with faults that a test can switch on.
 #[derive(Debug)]
 pub struct Worker {
     config: WorkerConfig,
     invariants: Arc<InvariantChecker>,
     state: Mutex<State>,
-    cut: AtomicBool,
+    partitioned: AtomicBool,
     inbound_partitioned: AtomicBool,
-    /// Delay of commands and answers, in milliseconds.
+    /// Delay of direct commands and heartbeat responses, in milliseconds.
     delay_ms: AtomicU64,
     reclaimed: AtomicBool,
     recent_heartbeats: Mutex<VecDeque<Vec<u8>>>,
 }
 
-/// Most heartbeats that are kept to be sent again.
-const MAX_RESENT: usize = 40;
+/// Number of recent heartbeats that are kept for [`Worker::resend_heartbeats`].
+const MAX_RECENT_HEARTBEATS: usize = 40;
 
 struct WorkerHandler {
     worker: Arc<Worker>,
@@ -83,7 +85,7 @@
 }
 
 impl Worker {
-    /// Starts a worker and its heartbeats.
+    /// Starts a worker, which begins to send heartbeats.
     ///
     /// # Errors
     ///
@@ -100,9 +102,9 @@
                 seq: 0,
                 fencing_token: FencingToken(0),
                 tasks: Vec::new(),
-                renewed: Instant::now(),
+                lease_renewed_at: Instant::now(),
             }),
-            cut: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
             inbound_partitioned: AtomicBool::new(false),
             delay_ms: AtomicU64::new(0),
             recent_heartbeats: Mutex::new(VecDeque::new()),
@@ -115,34 +117,35 @@
         };
         let addr = serve(loopback(), Limits::thread_each(16), handler)?.address;
         *own_address.lock() = Some(addr);
-        let running = Arc::clone(&worker);
-        std::thread::spawn(move || running.run(addr));
+        let sender = Arc::clone(&worker);
+        std::thread::spawn(move || sender.send_heartbeats(addr));
         Ok(worker)
     }
 
-    /// Cuts the worker off from the controllers in both directions, or ends that.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    /// Starts or ends a network partition from all controllers, in both directions.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    /// Lets heartbeats out, but no answer or command in; or ends that.
+    /// Starts or ends an inbound network partition: heartbeats are delivered, but responses and
+    /// commands are lost.
     pub fn set_inbound_partitioned(&self, inbound_partitioned: bool) {
         self.inbound_partitioned
             .store(inbound_partitioned, Ordering::Relaxed);
     }
 
-    /// Delays direct commands and answers to heartbeats. Tasks run on meanwhile.
+    /// Delays direct commands and responses to heartbeats. Tasks run on in the meantime.
     pub fn set_delay(&self, delay: Duration) {
         self.delay_ms
             .store(delay.as_millis() as u64, Ordering::Relaxed);
     }
 
-    fn delay(&self) {
+    fn sleep_for_delay(&self) {
         std::thread::sleep(Duration::from_millis(self.delay_ms.load(Ordering::Relaxed)));
     }
 
-    /// Sends the last 40 heartbeats again to every controller, oldest first, as a network with
-    /// late copies does. Answers are ignored.
+    /// Sends the last 40 heartbeats to every controller once more, oldest first, as a network
+    /// that delivers late duplicates does. Responses are ignored.
     pub fn resend_heartbeats(&self) {
         let heartbeats: Vec<Vec<u8>> = self.recent_heartbeats.lock().iter().cloned().collect();
         let controllers = self.config.controllers.lock().clone();
@@ -155,38 +158,41 @@
         }
     }
 
-    /// The cloud takes the machine back: all its tasks are lost.
+    /// Takes the machine away, as the cloud does: all its tasks are lost, and the worker neither
+    /// sends heartbeats nor answers requests any more.
     pub fn reclaim(&self) {
         self.reclaimed.store(true, Ordering::Relaxed);
         let mut state = self.state.lock();
-        self.kill(&mut state);
+        self.lose_tasks(&mut state);
     }
 
-    fn kill(&self, state: &mut State) {
+    fn lose_tasks(&self, state: &mut State) {
         for task in state.tasks.drain(..) {
             match task.exit {
                 None => self
                     .invariants
-                    .end(&task.task, &self.config.machine, End::Lost),
-                Some(Cause::Done) => self.invariants.forget(&task.task, &self.config.machine),
+                    .record_end(&task.task, &self.config.machine, End::Lost),
+                Some(Cause::Done) => self
+                    .invariants
+                    .record_forgotten(&task.task, &self.config.machine),
                 Some(_) => {}
             }
         }
     }
 
-    fn run(&self, addr: SocketAddr) {
+    fn send_heartbeats(&self, addr: SocketAddr) {
         let mut next_controller = 0;
         while !self.reclaimed.load(Ordering::Relaxed) {
             std::thread::sleep(self.config.heartbeat_interval);
-            self.pass_time();
-            if self.cut.load(Ordering::Relaxed) {
+            self.expire_and_complete();
+            if self.partitioned.load(Ordering::Relaxed) {
                 continue;
             }
             let controllers = self.config.controllers.lock().clone();
             let Some((_, to)) = controllers.get(next_controller % controllers.len().max(1)) else {
                 continue;
             };
-            let sent = Instant::now();
+            let sent_at = Instant::now();
             let heartbeat = self.heartbeat(addr);
             let incarnation = heartbeat.incarnation;
             let client = Client::new(*to, 0);
@@ -194,23 +200,25 @@
             {
                 let mut recent_heartbeats = self.recent_heartbeats.lock();
                 recent_heartbeats.push_back(body.clone());
-                if recent_heartbeats.len() > MAX_RESENT {
+                if recent_heartbeats.len() > MAX_RECENT_HEARTBEATS {
                     recent_heartbeats.pop_front();
                 }
             }
             match client.call("POST", "/v1/report", Some(&body), Duration::from_secs(4)) {
                 _ if self.inbound_partitioned.load(Ordering::Relaxed) => next_controller += 1,
-                Ok(a) if a.status == 200 => {
-                    self.delay();
-                    if let Ok(answer) = cbor::decode::<HeartbeatResponse>(&a.body) {
-                        self.take_answer(&answer, incarnation, sent);
+                Ok(response) if response.status == 200 => {
+                    self.sleep_for_delay();
+                    if let Ok(answer) = cbor::decode::<HeartbeatResponse>(&response.body) {
+                        self.execute_answer(&answer, incarnation, sent_at);
                     }
                 }
-                Ok(a) if a.status == 421 => {
-                    let leader = cbor::decode::<Redirect>(&a.body)
+                Ok(response) if response.status == 421 => {
+                    let leader = cbor::decode::<Redirect>(&response.body)
                         .ok()
-                        .and_then(|r| r.leader)
-                        .and_then(|f| controllers.iter().position(|(m, _)| *m == f));
+                        .and_then(|redirect| redirect.leader)
+                        .and_then(|leader| {
+                            controllers.iter().position(|(member, _)| *member == leader)
+                        });
                     next_controller = leader.unwrap_or(next_controller + 1);
                 }
                 _ => next_controller += 1,
@@ -218,20 +226,20 @@
         }
     }
 
-    /// Lets the lease expire and tasks complete that are due.
-    fn pass_time(&self) {
+    /// Expires the lease if it is due, and completes the tasks whose run time has passed.
+    fn expire_and_complete(&self) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        if now.duration_since(state.renewed) > self.config.lease {
-            self.kill(&mut state);
+        if now.duration_since(state.lease_renewed_at) > self.config.lease {
+            self.lose_tasks(&mut state);
             state.incarnation += 1;
-            state.renewed = now;
+            state.lease_renewed_at = now;
         }
         for task in &mut state.tasks {
-            if task.exit.is_none() && task.ends.is_some_and(|end| now >= end) {
+            if task.exit.is_none() && task.ends_at.is_some_and(|ends_at| now >= ends_at) {
                 task.exit = Some(Cause::Done);
                 self.invariants
-                    .end(&task.task, &self.config.machine, End::Done);
+                    .record_end(&task.task, &self.config.machine, End::Done);
             }
         }
     }
@@ -263,19 +271,20 @@
         }
     }
 
-    /// Executes the answer to a heartbeat that was sent at `sent` in `incarnation`, unless it
-    /// is late or superseded.
-    fn take_answer(&self, answer: &HeartbeatResponse, incarnation: u64, sent: Instant) {
+    /// Executes the response to a heartbeat that was sent at `sent_at` in `incarnation`, unless
+    /// it is late, of an earlier incarnation, or carries an older fencing token.
+    fn execute_answer(&self, answer: &HeartbeatResponse, incarnation: u64, sent_at: Instant) {
         let mut state = self.state.lock();
-        let late = sent.elapsed() > Duration::from_secs(4);
-        if late || answer.fencing_token < state.fencing_token || incarnation != state.incarnation {
+        let is_late = sent_at.elapsed() > Duration::from_secs(4);
+        if is_late || answer.fencing_token < state.fencing_token || incarnation != state.incarnation
+        {
             return;
         }
         if self.reclaimed.load(Ordering::Relaxed) {
             return;
         }
         state.fencing_token = answer.fencing_token;
-        state.renewed = sent;
+        state.lease_renewed_at = sent_at;
         self.execute(&mut state, &answer.commands);
     }
 
@@ -285,11 +294,11 @@
                 Command::Launch { task, attempt } => self.launch(state, task, *attempt),
                 Command::Stop { task, attempt, .. } => {
                     for running in &mut state.tasks {
-                        let same = running.task == *task && running.attempt == *attempt;
-                        if same && running.exit.is_none() {
+                        let is_same_attempt = running.task == *task && running.attempt == *attempt;
+                        if is_same_attempt && running.exit.is_none() {
                             running.exit = Some(Cause::Stopped);
                             self.invariants
-                                .end(task, &self.config.machine, End::Stopped);
+                                .record_end(task, &self.config.machine, End::Stopped);
                         }
                     }
                 }
@@ -308,22 +317,23 @@
         {
             return;
         }
-        let busy = state
+        let runs_other_attempt = state
             .tasks
             .iter()
             .any(|t| t.task == *task && t.exit.is_none());
         let mut launched = Task {
             task: task.clone(),
             attempt,
-            ends: None,
+            ends_at: None,
             exit: None,
         };
         match self.invariants.run_time(task) {
-            _ if busy => launched.exit = Some(Cause::Busy),
+            _ if runs_other_attempt => launched.exit = Some(Cause::Busy),
             None => launched.exit = Some(Cause::NoSuch),
-            Some(run) => {
-                launched.ends = Instant::now().checked_add(run);
-                self.invariants.start(task, attempt, &self.config.machine);
+            Some(run_time) => {
+                launched.ends_at = Instant::now().checked_add(run_time);
+                self.invariants
+                    .record_start(task, attempt, &self.config.machine);
             }
         }
         state.tasks.push(launched);
@@ -333,9 +343,9 @@
 impl Handler for WorkerHandler {
     fn handle(&self, request: &Request<'_>) -> Response {
         let worker = &self.worker;
-        // A cut worker does not answer; a refusal has the same effect on the caller.
+        // A partitioned worker would not answer. Status 503 has the same effect on the caller.
         let addr = *self.addr.lock();
-        let unreachable = worker.cut.load(Ordering::Relaxed)
+        let unreachable = worker.partitioned.load(Ordering::Relaxed)
             || worker.inbound_partitioned.load(Ordering::Relaxed);
         let (Some(addr), false) = (addr, unreachable) else {
             return Response::status(503);
@@ -343,8 +353,8 @@
         if worker.reclaimed.load(Ordering::Relaxed) {
             return Response::status(503);
         }
-        worker.delay();
-        worker.pass_time();
+        worker.sleep_for_delay();
+        worker.expire_and_complete();
         match (request.method, request.path) {
             ("GET", "/show") => Response::cbor(200, &worker.heartbeat(addr)),
             ("POST", "/do") => {
