--- a/crates/pulleywood-testkit/examples/cold_starts.rs
+++ b/crates/pulleywood-testkit/examples/cold_starts.rs
@@ -1,5 +1,5 @@
-//! Plays cold starts in virtual time: thousands of random ones to find broken
-//! rules, or some of given sizes to measure.
+//! Runs cold starts in virtual time: many random ones to find violated invariants, or some of
+//! given sizes to measure the recovery.
 //!
 //!     cold_starts random FIRST COUNT
 //!     cold_starts measure SEEDS MACHINES...
@@ -9,20 +9,20 @@
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-fn number(text: &str) -> u64 {
+fn parse_number(text: &str) -> u64 {
     text.parse()
         .unwrap_or_else(|_| panic!("{text}: not a number"))
 }
 
-fn random(first: u64, count: u64) -> ExitCode {
-    let next = AtomicU64::new(first);
-    let broken = AtomicU64::new(0);
+fn run_random(first: u64, count: u64) -> ExitCode {
+    let next_seed = AtomicU64::new(first);
+    let failed_count = AtomicU64::new(0);
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= first + count {
                         return;
                     }
@@ -36,16 +36,16 @@
                     };
                     let outcome = VirtualCluster::new(scenario).run();
                     if !outcome.violations.is_empty() || outcome.audit_findings > 0 {
-                        broken.fetch_add(1, Ordering::Relaxed);
+                        failed_count.fetch_add(1, Ordering::Relaxed);
                         println!("seed {seed}: {:?}", outcome.violations);
                     }
                 }
             });
         }
     });
-    let broken = broken.into_inner();
-    println!("{count} cold starts, {broken} with violations");
-    ExitCode::from(u8::from(broken > 0))
+    let failed_count = failed_count.into_inner();
+    println!("{count} cold starts, {failed_count} with violations");
+    ExitCode::from(u8::from(failed_count > 0))
 }
 
 fn measure(seeds: u64, sizes: &[usize]) -> ExitCode {
@@ -64,15 +64,17 @@
                         lost_machine_share: 0.05,
                         random_faults: false,
                     };
-                    let o: Outcome = VirtualCluster::new(scenario).run();
-                    let intervals = o.intervals_until_services_run.map_or(-1, |n| n as i64);
+                    let outcome: Outcome = VirtualCluster::new(scenario).run();
+                    let intervals = outcome
+                        .intervals_until_services_run
+                        .map_or(-1, |n| n as i64);
                     println!(
                         "{machines} {controllers} {recovery} {seed} {} {} {} {intervals} {} {}",
-                        o.commands,
-                        o.min_commands,
-                        o.store_requests,
-                        o.replicas_lost,
-                        o.violations.len()
+                        outcome.commands,
+                        outcome.min_commands,
+                        outcome.store_requests,
+                        outcome.replicas_lost,
+                        outcome.violations.len()
                     );
                 }
             }
@@ -84,10 +86,10 @@
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
     match args.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["random", first, count] => random(number(first), number(count)),
+        ["random", first, count] => run_random(parse_number(first), parse_number(count)),
         ["measure", seeds, ref sizes @ ..] => {
-            let sizes: Vec<usize> = sizes.iter().map(|s| number(s) as usize).collect();
-            measure(number(seeds), &sizes)
+            let sizes: Vec<usize> = sizes.iter().map(|s| parse_number(s) as usize).collect();
+            measure(parse_number(seeds), &sizes)
         }
         _ => {
             eprintln!("cold_starts random FIRST COUNT | cold_starts measure SEEDS MACHINES...");
--- a/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
@@ -1,9 +1,9 @@
-//! The cloud and the fleet: rentals, moves, transfers, releases.
+//! The cloud and the fleet: rentals, machine moves, job transfers and releases.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn rent(&mut self, kind: &MachineKind, up_at: MonotonicTime) -> MachineId {
+    pub(super) fn rent(&mut self, kind: &MachineKind, boots_at: MonotonicTime) -> MachineId {
         self.machine_count += 1;
         let id = MachineId::from(format!("vm-{:06}", self.machine_count).as_str());
         let worker = Worker {
@@ -11,20 +11,20 @@
             incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
-            up_at,
-            dead: self.rng.f64() < 0.03,
-            failing: self.rng.f64() < 0.08,
-            deaf_until: MonotonicTime(0),
-            notice: None,
+            boots_at,
+            lost: self.rng.f64() < 0.03,
+            fails_tasks: self.rng.f64() < 0.08,
+            inbound_partitioned_until: MonotonicTime(0),
+            preemption_at: None,
         };
         self.workers.insert(id.clone(), worker);
-        self.booting.insert(id.clone(), kind.clone());
+        self.unregistered.insert(id.clone(), kind.clone());
         id
     }
 
-    /// A machine that was heard for the first time gets its record.
+    /// Records a machine when its worker sends the first heartbeat.
     pub(super) fn register(&mut self, id: &MachineId) {
-        let Some(kind) = self.booting.remove(id) else {
+        let Some(kind) = self.unregistered.remove(id) else {
             return;
         };
         let shard = self.config.shard_for(id, &kind.zone);
@@ -35,7 +35,7 @@
             spot: kind.spot,
             ..samples::machine_record(shard)
         };
-        let state = self.shards.get_mut(&shard).expect("a shard");
+        let state = self.shards.get_mut(&shard).expect("shard exists");
         state.put_machine(id, record.clone(), revision, false, self.now);
         self.records.insert(id.clone(), (record, revision));
     }
@@ -46,7 +46,7 @@
         }
         self.records.remove(id);
         self.workers.remove(id);
-        self.booting.remove(id);
+        self.unregistered.remove(id);
     }
 
     pub(super) fn rentals(&self) -> Vec<Rental> {
@@ -60,16 +60,16 @@
             age_s: Amount(20.0),
         };
         let recorded = self.records.iter().map(|(id, (record, _))| {
-            let dead = self.workers.get(id).is_none_or(|w| w.dead);
-            let status = if dead {
+            let is_lost = self.workers.get(id).is_none_or(|worker| worker.lost);
+            let status = if is_lost {
                 RentalStatus::Failed
             } else {
                 RentalStatus::Running
             };
             rental(id, &record.flavor, &record.zone, record.spot, status)
         });
-        let booting = self.booting.iter();
-        let booting = booting.map(|(id, kind)| {
+        let unregistered = self.unregistered.iter();
+        let unregistered = unregistered.map(|(id, kind)| {
             rental(
                 id,
                 &kind.flavor,
@@ -78,64 +78,64 @@
                 RentalStatus::Starting,
             )
         });
-        recorded.chain(booting).collect()
+        recorded.chain(unregistered).collect()
     }
 
-    pub(super) fn fleet_round(&mut self) {
+    pub(super) fn run_fleet_round(&mut self) {
         let list = self.rentals();
         let records: BTreeMap<MachineId, MachineRecord> = self
             .records
             .iter()
             .map(|(id, (record, _))| (id.clone(), record.clone()))
             .collect();
-        let seen = FleetSnapshot {
+        let snapshot = FleetSnapshot {
             now: self.now,
             records: &records,
             shards: &self.digests,
             rentals: self.rng.bool().then_some(list.as_slice()),
             suspend_scale_in: self.rng.f64() < 0.05,
         };
-        for action in fleet::decide(&self.config, &mut self.fleet_history, &seen) {
-            self.act(action);
+        for action in fleet::decide(&self.config, &mut self.fleet_history, &snapshot) {
+            self.apply_action(action);
         }
     }
 
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Move(id, from, to) => {
-                self.note(0, &[&id], &[from, to]);
+                self.hash_action(0, &[&id], &[from, to]);
                 self.move_machine(&id, from, to);
             }
             Action::Transfer(from, to, demand) => {
-                self.note(1, &[], &[from, to]);
-                self.digest
-                    .bytes(&rmp_serde::to_vec(&demand).expect("a demand"));
+                self.hash_action(1, &[], &[from, to]);
+                self.hasher
+                    .add_bytes(&rmp_serde::to_vec(&demand).expect("demand can be encoded"));
                 self.transfer(from, to, &demand);
             }
             Action::Drain(shard, ids) => {
-                self.note(2, &ids.iter().collect::<Vec<_>>(), &[shard]);
+                self.hash_action(2, &ids.iter().collect::<Vec<_>>(), &[shard]);
                 let until = self.now + Duration::from_secs(10);
-                let state = self.shards.get_mut(&shard).expect("a shard");
+                let state = self.shards.get_mut(&shard).expect("shard exists");
                 state.drain(&ids, until);
             }
             Action::ScaleIn(id, shard) => {
-                self.note(3, &[&id], &[shard]);
-                let leaves = self.shards[&shard].may_leave(&id);
-                self.digest.flag(leaves);
-                if leaves {
+                self.hash_action(3, &[&id], &[shard]);
+                let may_leave = self.shards[&shard].may_leave(&id);
+                self.hasher.add_flag(may_leave);
+                if may_leave {
                     self.remove_machine(&id);
                 }
             }
             Action::ScaleOut(kind, count) => {
-                self.digest.number(4);
-                self.digest.number(u64::from(count));
-                self.digest.text(&kind.flavor);
-                self.digest.text(&kind.zone);
-                self.digest.flag(kind.spot);
-                self.rent_some(&kind, count);
+                self.hasher.add_number(4);
+                self.hasher.add_number(u64::from(count));
+                self.hasher.add_text(&kind.flavor);
+                self.hasher.add_text(&kind.zone);
+                self.hasher.add_flag(kind.spot);
+                self.rent_machines(&kind, count);
             }
             Action::ReleaseDead(ids, _) => {
-                self.note(5, &ids.iter().collect::<Vec<_>>(), &[]);
+                self.hash_action(5, &ids.iter().collect::<Vec<_>>(), &[]);
                 for id in ids {
                     self.remove_machine(&id);
                 }
@@ -143,23 +143,24 @@
         }
     }
 
-    pub(super) fn note(&mut self, kind: u64, machines: &[&MachineId], shards: &[ShardId]) {
-        self.digest.number(kind);
+    /// Hashes the kind of an action, as a number of its own, with its machines and shards.
+    pub(super) fn hash_action(&mut self, kind: u64, machines: &[&MachineId], shards: &[ShardId]) {
+        self.hasher.add_number(kind);
         for id in machines {
-            self.digest.text(&id.0);
+            self.hasher.add_text(&id.0);
         }
         for shard in shards {
-            self.digest.number(u64::from(shard.0));
+            self.hasher.add_number(u64::from(shard.0));
         }
     }
 
     pub(super) fn move_machine(&mut self, id: &MachineId, from: ShardId, to: ShardId) {
-        let leaves = self.shards[&from].may_leave(id);
-        self.digest.flag(leaves);
+        let may_leave = self.shards[&from].may_leave(id);
+        self.hasher.add_flag(may_leave);
         let Some((record, _)) = self.records.get(id).cloned() else {
             return;
         };
-        if !leaves {
+        if !may_leave {
             self.fleet_history.cancel_move(id);
             return;
         }
@@ -170,10 +171,10 @@
             fencing_token,
             ..record
         };
-        let old = self.shards.get_mut(&from).expect("a shard");
-        old.drop_machine(id);
-        let new = self.shards.get_mut(&to).expect("a shard");
-        new.put_machine(id, record.clone(), revision, false, self.now);
+        let source = self.shards.get_mut(&from).expect("shard exists");
+        source.drop_machine(id);
+        let destination = self.shards.get_mut(&to).expect("shard exists");
+        destination.put_machine(id, record.clone(), revision, false, self.now);
         self.records.insert(id.clone(), (record, revision));
     }
 
@@ -183,19 +184,19 @@
         to: ShardId,
         demand: &pulleywood_protocol::peer::Demand,
     ) {
-        let state = self.shards.get_mut(&from).expect("a shard");
+        let state = self.shards.get_mut(&from).expect("shard exists");
         for offer in state.offer(demand, &self.config) {
-            self.digest.text(offer.id.as_str());
-            self.digest.text(offer.zone.as_deref().unwrap_or(""));
-            self.digest.text(&offer.tasks.chunk_text(0, 1 << 20));
-            let draw = self.rng.f64();
-            if draw < 0.1 {
-                let state = self.shards.get_mut(&from).expect("a shard");
+            self.hasher.add_text(offer.id.as_str());
+            self.hasher.add_text(offer.zone.as_deref().unwrap_or(""));
+            self.hasher.add_text(&offer.tasks.chunk_text(0, 1 << 20));
+            let random = self.rng.f64();
+            if random < 0.1 {
+                let state = self.shards.get_mut(&from).expect("shard exists");
                 state.withdraw_offer(&offer.id);
                 continue;
             }
-            if draw < 0.2 {
-                let state = self.shards.get_mut(&from).expect("a shard");
+            if random < 0.2 {
+                let state = self.shards.get_mut(&from).expect("shard exists");
                 state.doubt_offer(&offer.id);
                 continue;
             }
@@ -203,9 +204,9 @@
                 continue;
             };
             record.transfer_tasks(to, offer.zone.as_deref(), &offer.tasks);
-            self.digest.bytes(&cbor::encode(&record));
-            if self.in_batch.remove(&offer.id) {
-                self.leave_job_batch(&offer.id);
+            self.hasher.add_bytes(&cbor::encode(&record));
+            if self.batched_jobs.remove(&offer.id) {
+                self.remove_from_job_batch(&offer.id);
             }
             let revision = self.next_revision();
             for state in self.shards.values_mut() {
@@ -215,16 +216,17 @@
         }
     }
 
-    pub(super) fn rent_some(&mut self, kind: &MachineKind, count: u32) {
-        // The cloud has few machines, and of some kinds none for now.
-        let most = 40_usize.saturating_sub(self.workers.len()) as u32;
-        let count = count.min(most).min(self.rng.u32(0..6));
+    pub(super) fn rent_machines(&mut self, kind: &MachineKind, count: u32) {
+        // The cloud has at most 40 machines, and sometimes refuses a kind or rents out fewer
+        // machines than requested.
+        let available = 40_usize.saturating_sub(self.workers.len()) as u32;
+        let count = count.min(available).min(self.rng.u32(0..6));
         if count == 0 {
             self.fleet_history.record_refusal(kind, self.now);
             return;
         }
-        let up_at = self.now + Duration::from_secs(8);
-        let ids: Vec<MachineId> = (0..count).map(|_| self.rent(kind, up_at)).collect();
+        let boots_at = self.now + Duration::from_secs(8);
+        let ids: Vec<MachineId> = (0..count).map(|_| self.rent(kind, boots_at)).collect();
         self.fleet_history.record_filled_rental(kind);
         self.fleet_history
             .record_rented_machines(&ids, kind, self.now);
--- a/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/digests.rs
@@ -1,9 +1,9 @@
-//! What shards tell each other, and quotas.
+//! Digests that shards exchange, and quotas.
 
 use super::*;
 
 impl Simulation {
-    /// What waiting work may use is known in all shards, as controllers tell it.
+    /// Tells all shards which machine types the waiting work of any shard can run on.
     pub(super) fn share_machine_type_demand(&mut self) {
         for digest in self.digests.values() {
             for demand in &digest.demand {
@@ -17,20 +17,20 @@
         }
     }
 
-    /// So is what teams use in the other shards.
+    /// Tells each shard the slots that teams use in the other shards.
     pub(super) fn share_usage(&mut self) {
         for (shard, state) in &mut self.shards {
-            let mut elsewhere: BTreeMap<String, Slots> = BTreeMap::new();
+            let mut used_by_others: BTreeMap<String, Slots> = BTreeMap::new();
             let others = self
                 .digests
                 .values()
                 .filter(|digest| digest.shard != *shard);
             for (team, used) in others.flat_map(|digest| &digest.used) {
-                let sum = elsewhere.entry(team.clone()).or_default();
-                sum.cpus.0 += used.cpus.0;
-                sum.gpus.0 += used.gpus.0;
+                let total = used_by_others.entry(team.clone()).or_default();
+                total.cpus.0 += used.cpus.0;
+                total.gpus.0 += used.gpus.0;
             }
-            state.elsewhere = elsewhere;
+            state.elsewhere = used_by_others;
         }
     }
 
@@ -39,8 +39,8 @@
         let now = self.now;
         for (shard, state) in &mut self.shards {
             let digest = state.digest(now, &self.config);
-            self.digest
-                .bytes(&rmp_serde::to_vec(&digest).expect("a digest"));
+            self.hasher
+                .add_bytes(&rmp_serde::to_vec(&digest).expect("digest can be encoded"));
             self.digests.insert(*shard, Arc::new(digest));
             for event in state.take_health_events() {
                 let (kind, name) = match event {
@@ -49,11 +49,11 @@
                     HealthEvent::Quarantined(id) => (2, id.to_string()),
                     HealthEvent::Fit(id) => (3, id.to_string()),
                 };
-                self.digest.number(kind);
-                self.digest.text(&name);
+                self.hasher.add_number(kind);
+                self.hasher.add_text(&name);
             }
-            self.digest.number(state.take_started().len() as u64);
-            self.digest.number(state.candidates_examined);
+            self.hasher.add_number(state.take_started().len() as u64);
+            self.hasher.add_number(state.candidates_examined);
             let snapshot = state.snapshot(&self.config);
             for count in [
                 snapshot.machines,
@@ -66,11 +66,11 @@
                 snapshot.older_blocked,
                 snapshot.services_missing,
             ] {
-                self.digest.number(count as u64);
+                self.hasher.add_number(count as u64);
             }
             for (id, record) in state.new_images() {
-                self.digest.text(&id.0);
-                self.digest.bytes(&cbor::encode(&record));
+                self.hasher.add_text(&id.0);
+                self.hasher.add_bytes(&cbor::encode(&record));
                 if self.rng.bool() {
                     self.revision += 1;
                     let revision = Revision(self.revision);
@@ -79,18 +79,18 @@
                 }
             }
         }
-        self.digest.number(
+        self.hasher.add_number(
             match reachability(self.shards.values(), now, &self.config) {
                 Reachability::Reachable => 0,
                 Reachability::Uncertain => 1,
                 Reachability::Unreachable => 2,
             },
         );
-        self.sent.clear();
+        self.sent_work.clear();
         self.share_usage();
     }
 
-    pub(super) fn balance(&mut self) {
+    pub(super) fn balance_quotas(&mut self) {
         let need = |digest: &ShardDigest| {
             let teams = self.config.teams.keys().map(|team| {
                 let need = Need {
@@ -102,18 +102,21 @@
             });
             teams.collect::<BTreeMap<_, _>>()
         };
-        let needs = self.digests.iter().map(|(shard, d)| (*shard, need(d)));
+        let needs = self
+            .digests
+            .iter()
+            .map(|(shard, digest)| (*shard, need(digest)));
         let needs: BTreeMap<ShardId, BTreeMap<String, Need>> = needs.collect();
         match quota::balance(&self.config, &self.quotas, &needs) {
-            None => self.digest.number(0),
+            None => self.hasher.add_number(0),
             Some(Step::Grow(shard, record)) => {
-                self.digest.number(1);
+                self.hasher.add_number(1);
                 self.set_quota(shard, record);
             }
-            Some(Step::Shrink(shard, to)) => {
-                self.digest.number(2);
+            Some(Step::Shrink(shard, target)) => {
+                self.hasher.add_number(2);
                 let used = self.shards[&shard].used(&self.config);
-                if let Some(record) = quota::shrunk(&self.quotas[&shard], &to, &used) {
+                if let Some(record) = quota::shrunk(&self.quotas[&shard], &target, &used) {
                     self.set_quota(shard, record);
                 }
             }
@@ -121,9 +124,12 @@
     }
 
     pub(super) fn set_quota(&mut self, shard: ShardId, record: QuotaRecord) {
-        self.digest.number(u64::from(shard.0));
-        self.digest.bytes(&cbor::encode(&record));
-        let state = self.shards.get_mut(&shard).expect("a shard");
+        self.hasher.add_number(u64::from(shard.0));
+        self.hasher.add_bytes(&cbor::encode(&record));
+        let state = self
+            .shards
+            .get_mut(&shard)
+            .expect("quota names an existing shard");
         state.quotas = record.clone();
         state.disturb();
         self.quotas.insert(shard, record);
--- a/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! Submissions, job batches, done batches and ends of jobs.
+//! Jobs: submission, job batches, done batches and removal.
 
 use super::*;
 
@@ -6,7 +6,8 @@
     pub(super) fn random_spec(&mut self) -> JobSpec {
         self.job_count += 1;
         let rng = &mut self.rng;
-        let id = JobId::parse(&format!("j-{:06}", self.job_count)).expect("a job id");
+        let id =
+            JobId::parse(&format!("j-{:06}", self.job_count)).expect("job number forms a valid id");
         let tasks = [1, 2, 3, 8, 20, 90][rng.usize(0..6)];
         let mut spec = samples::spec(id, tasks);
         spec.shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.usize(0..4)];
@@ -40,9 +41,9 @@
 
     pub(super) fn submit(&mut self) {
         let spec = self.random_spec();
-        let refused = self.config.never_runs(&spec);
-        self.digest.flag(refused.is_some());
-        if refused.is_some() {
+        let rejection = self.config.never_runs(&spec);
+        self.hasher.add_flag(rejection.is_some());
+        if rejection.is_some() {
             return;
         }
         let shard = shard_selection::choose(
@@ -50,9 +51,9 @@
             &spec,
             &self.digests,
             &self.records,
-            &self.sent,
+            &self.sent_work,
         );
-        *self.sent.entry(shard).or_default() += shard_selection::size(&self.config, &spec);
+        *self.sent_work.entry(shard).or_default() += shard_selection::size(&self.config, &spec);
         let mut record = JobRecord {
             spec,
             at_ms: self.now.0,
@@ -65,9 +66,9 @@
             &mut record,
             &self.digests,
             &self.records,
-            &self.sent,
+            &self.sent_work,
         );
-        self.digest.bytes(&cbor::encode(&record));
+        self.hasher.add_bytes(&cbor::encode(&record));
         let revision = self.next_revision();
         let id = record.spec.id.clone();
         let in_job_batch = self.rng.f64() < 0.3;
@@ -79,7 +80,7 @@
             };
             self.job_batches
                 .put(self.job_batch_count, Some(job_batch), revision);
-            self.in_batch.insert(id.clone());
+            self.batched_jobs.insert(id.clone());
         }
         for state in self.shards.values_mut() {
             if in_job_batch {
@@ -91,68 +92,70 @@
         self.jobs.insert(id, (record, revision));
     }
 
-    /// A job is done or cancelled.
+    /// Removes a job that is done or cancelled.
     pub(super) fn end_job(&mut self, id: &JobId) {
         self.jobs.remove(id);
-        if self.in_batch.remove(id) {
-            self.leave_job_batch(id);
+        if self.batched_jobs.remove(id) {
+            self.remove_from_job_batch(id);
         }
         for state in self.shards.values_mut() {
             state.drop_job(id);
         }
     }
 
-    pub(super) fn leave_job_batch(&mut self, id: &JobId) {
-        if let Some(n) = self.job_batches.find(id) {
+    pub(super) fn remove_from_job_batch(&mut self, id: &JobId) {
+        if let Some(number) = self.job_batches.find(id) {
             let revision = self.next_revision();
-            self.job_batches.put(n, None, revision);
+            self.job_batches.put(number, None, revision);
         }
     }
 
-    /// Commits what is done.
-    pub(super) fn flush(&mut self) {
+    /// Commits the done batches of all shards, until none is left.
+    pub(super) fn commit_done_batches(&mut self) {
         let shards: Vec<ShardId> = self.shards.keys().copied().collect();
         for shard in shards {
             loop {
                 let state = &self.shards[&shard];
-                let due = state.has_batch(self.now, &self.config);
-                self.digest.number(due.map_or(2, u64::from));
+                let is_due = state.has_batch(self.now, &self.config);
+                self.hasher.add_number(is_due.map_or(2, u64::from));
                 let batch = state.batch(Revision(3), &self.job_batches, self.now, &self.config);
                 let Some(batch) = batch else { break };
-                self.digest.bytes(&cbor::encode(&batch.transaction));
+                self.hasher.add_bytes(&cbor::encode(&batch.transaction));
                 let revision = self.next_revision();
-                for (n, job_batch) in &batch.job_batches {
-                    self.job_batches.put(*n, job_batch.clone(), revision);
+                for (number, job_batch) in &batch.job_batches {
+                    self.job_batches.put(*number, job_batch.clone(), revision);
                 }
-                let state = self.shards.get_mut(&shard).expect("a shard");
+                let state = self.shards.get_mut(&shard).expect("listed shard exists");
                 state.batch_applied(&batch, revision);
                 for job in &batch.jobs {
-                    self.in_batch.remove(&job.id);
+                    self.batched_jobs.remove(&job.id);
                     if job.over.is_some() {
                         self.end_job(&job.id);
                     }
                 }
-                self.apply_changes(&batch.transaction.writes, revision);
+                self.apply_writes(&batch.transaction.writes, revision);
             }
         }
     }
 
-    /// Records written by a batch reach all shards.
-    pub(super) fn apply_changes(&mut self, changes: &[Write], revision: Revision) {
-        for change in changes {
-            let Write::Put { key, value, .. } = change else {
+    /// Delivers the job and chunk records that a batch wrote to all shards.
+    pub(super) fn apply_writes(&mut self, writes: &[Write], revision: Revision) {
+        for write in writes {
+            let Write::Put { key, value, .. } = write else {
                 continue;
             };
             match Key::parse(key) {
                 Some(Key::Job(_, id, 0)) if self.jobs.contains_key(&id) => {
-                    let record: JobRecord = cbor::from_value(value).expect("a job's record");
+                    let record: JobRecord =
+                        cbor::from_value(value).expect("written value is a job record");
                     for state in self.shards.values_mut() {
                         state.put_job(&record, revision, false, self.now, &self.config);
                     }
                     self.jobs.insert(id, (record, revision));
                 }
                 Some(Key::Job(_, id, chunk)) => {
-                    let record: ChunkRecord = cbor::from_value(value).expect("a chunk");
+                    let record: ChunkRecord =
+                        cbor::from_value(value).expect("written value is a chunk record");
                     for state in self.shards.values_mut() {
                         state.put_chunk(&id, chunk, &record, revision, &self.config);
                     }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A small random cluster driven by the pure decisions alone: placement, fleet,
-//! quotas, shard selection, transfers and done batches. It takes no notice of any
-//! rule; it only has to reach as many branches as it can, the same way each time.
+//! Simulates a small random cluster with the real scheduling decisions: placement, fleet,
+//! quotas, shard selection, transfers and done batches. No invariant is checked. The purpose
+//! is to reach as many branches as possible, deterministically.
 
 mod cloud_and_fleet;
 mod digests;
@@ -8,7 +8,7 @@
 mod random_config;
 mod workers;
 
-use crate::digest::Digest;
+use crate::hasher::DecisionHasher;
 use fastrand::Rng;
 use pulleywood_protocol::cbor::{self, Amount};
 use pulleywood_protocol::cloud::{Rental, RentalStatus};
@@ -35,34 +35,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A step of virtual time.
+/// Virtual time that passes in one step, in milliseconds.
 const STEP_MS: u64 = 500;
-/// Steps played.
+/// Number of steps in a run.
 const STEPS: u64 = 500;
-/// Images that jobs use.
+/// Number of different images that jobs use.
 const IMAGES: u32 = 6;
 
 /// A task on a machine.
-struct Running {
+struct RunningTask {
     task: TaskId,
     attempt: Attempt,
     state: TaskState,
     cause: Option<Cause>,
-    /// When its state changes by itself.
-    until: MonotonicTime,
+    /// When it enters its next state without a command.
+    next_state_at: MonotonicTime,
 }
 
 /// A machine and its worker.
 struct Worker {
-    tasks: Vec<Running>,
+    tasks: Vec<RunningTask>,
     incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
-    up_at: MonotonicTime,
-    dead: bool,
-    failing: bool,
-    deaf_until: MonotonicTime,
-    notice: Option<MonotonicTime>,
+    boots_at: MonotonicTime,
+    lost: bool,
+    /// Whether all its tasks fail.
+    fails_tasks: bool,
+    /// Until when responses to its heartbeats are lost.
+    inbound_partitioned_until: MonotonicTime,
+    /// When it is lost to a spot preemption; `None` without a preemption notice.
+    preemption_at: Option<MonotonicTime>,
 }
 
 struct Simulation {
@@ -71,33 +74,36 @@
     config: Config,
     shards: BTreeMap<ShardId, ShardState>,
     workers: BTreeMap<MachineId, Worker>,
-    /// Machines rented that have no record yet.
-    booting: BTreeMap<MachineId, MachineKind>,
+    /// Rented machines that have no record yet.
+    unregistered: BTreeMap<MachineId, MachineKind>,
     records: BTreeMap<MachineId, (MachineRecord, Revision)>,
     jobs: BTreeMap<JobId, (JobRecord, Revision)>,
     job_batches: JobBatches,
-    in_batch: BTreeSet<JobId>,
+    /// Jobs whose records are stored in a job batch.
+    batched_jobs: BTreeSet<JobId>,
     job_batch_count: u64,
     quotas: BTreeMap<ShardId, QuotaRecord>,
     digests: BTreeMap<ShardId, Arc<ShardDigest>>,
     fleet_history: FleetHistory,
     machine_type_demand: MachineTypeDemand,
-    sent: BTreeMap<ShardId, f64>,
+    /// Machines' worth of work that was sent to each shard since its last digest.
+    sent_work: BTreeMap<ShardId, f64>,
     revision: u64,
     job_count: u64,
     machine_count: u64,
-    launches: u64,
-    digest: Digest,
+    launch_count: u64,
+    hasher: DecisionHasher,
 }
 
-/// Plays one seed: the hash of its decisions, and how many launches it saw.
-pub fn play(seed: u64) -> (u64, u64) {
+/// Runs the simulation of one seed, and returns the hash of its decisions and the number of
+/// launch commands executed.
+pub fn run(seed: u64) -> (u64, u64) {
     let mut simulation = Simulation::new(seed);
     for step in 0..STEPS {
         simulation.now = simulation.now + Duration::from_millis(STEP_MS);
         simulation.step(step);
     }
-    (simulation.digest.finish(), simulation.launches)
+    (simulation.hasher.finish(), simulation.launch_count)
 }
 
 impl Simulation {
@@ -108,28 +114,28 @@
             now: MonotonicTime(1_000_000),
             shards: BTreeMap::new(),
             workers: BTreeMap::new(),
-            booting: BTreeMap::new(),
+            unregistered: BTreeMap::new(),
             records: BTreeMap::new(),
             jobs: BTreeMap::new(),
             job_batches: JobBatches::default(),
-            in_batch: BTreeSet::new(),
+            batched_jobs: BTreeSet::new(),
             job_batch_count: 0,
             quotas: BTreeMap::new(),
             digests: BTreeMap::new(),
             fleet_history: FleetHistory::default(),
             machine_type_demand: MachineTypeDemand::default(),
-            sent: BTreeMap::new(),
+            sent_work: BTreeMap::new(),
             revision: 10,
             job_count: 0,
             machine_count: 0,
-            launches: 0,
-            digest: Digest::default(),
+            launch_count: 0,
+            hasher: DecisionHasher::default(),
             rng,
             config,
         };
         for shard in (0..simulation.config.shards).map(ShardId) {
-            let first = quota::first(&simulation.config, simulation.config.shards);
-            simulation.quotas.insert(shard, first);
+            let initial_quota = quota::first(&simulation.config, simulation.config.shards);
+            simulation.quotas.insert(shard, initial_quota);
             simulation.lead(
                 shard,
                 FencingToken(5 + u64::from(shard.0)),
@@ -160,7 +166,7 @@
         Revision(self.revision)
     }
 
-    /// A shard is led under a new token; what was launched before is unknown.
+    /// Loads a shard under a new fencing token. Tasks launched before are unknown to it.
     fn lead(
         &mut self,
         shard: ShardId,
@@ -177,7 +183,7 @@
             }
         }
         for (id, (record, revision)) in &self.jobs {
-            if self.in_batch.contains(id) {
+            if self.batched_jobs.contains(id) {
                 state.put_batched_job(record, *revision, true, self.now, &self.config);
             } else {
                 state.put_job(record, *revision, true, self.now, &self.config);
@@ -187,35 +193,40 @@
     }
 
     fn step(&mut self, step: u64) {
-        self.trouble();
+        self.inject_faults();
         if self.rng.f64() < 0.2 {
             self.submit();
         }
-        self.workers_report();
+        self.send_heartbeats();
         for state in self.shards.values_mut() {
             state.tick(self.now, &self.config);
         }
         if step.is_multiple_of(2) {
-            self.flush();
+            self.commit_done_batches();
         }
         if step % 4 == 1 {
             self.exchange_digests();
-            self.balance();
-            self.fleet_round();
+            self.balance_quotas();
+            self.run_fleet_round();
         }
     }
 
-    fn trouble(&mut self) {
+    /// Draws faults: a lost machine, lost responses, a preemption notice, the end or
+    /// cancellation of a job, and a new leader of a shard.
+    fn inject_faults(&mut self) {
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         if !ids.is_empty() {
             let id = &ids[self.rng.usize(0..ids.len())];
-            let draw = self.rng.f64();
-            let seconds = Duration::from_secs(self.rng.u64(1..30));
-            let worker = self.workers.get_mut(id).expect("a worker");
-            match draw {
-                x if x < 0.003 => worker.dead = true,
-                x if x < 0.006 => worker.deaf_until = self.now + seconds,
-                x if x < 0.009 => worker.notice = Some(self.now + seconds),
+            let random = self.rng.f64();
+            let duration = Duration::from_secs(self.rng.u64(1..30));
+            let worker = self
+                .workers
+                .get_mut(id)
+                .expect("listed machine has a worker");
+            match random {
+                x if x < 0.003 => worker.lost = true,
+                x if x < 0.006 => worker.inbound_partitioned_until = self.now + duration,
+                x if x < 0.009 => worker.preemption_at = Some(self.now + duration),
                 _ => {}
             }
         }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/random_config.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/random_config.rs
@@ -1,4 +1,4 @@
-//! Random settings of the decisions.
+//! Random settings of the scheduler.
 
 use fastrand::Rng;
 use pulleywood_protocol::cbor::Amount;
@@ -21,7 +21,7 @@
         price: Amount(price),
         spot_price: Amount(price * 0.3),
         boot_s: Amount(12.0),
-        zones: zones.iter().map(|z| (*z).to_owned()).collect(),
+        zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     }
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// Settings drawn from a seed.
+/// Settings of a cluster with one to three shards, drawn from `rng`.
 pub fn random_config(rng: &mut Rng) -> Config {
     let shards = rng.u32(1..4);
     let mut config = samples::config(shards);
     let zones = ["a", "b", "c"];
-    config.zones = zones.iter().map(|z| (*z).to_owned()).collect();
+    config.zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
     if rng.bool() {
         config.homes = config.zones.clone();
     }
@@ -48,7 +48,10 @@
         flavor("c16", 16.0, 0.0, 32.0, 1.0, &zones),
         flavor("m8", 8.0, 0.0, 128.0, 1.5, &["b", "c"]),
     ];
-    config.flavors = flavors.into_iter().map(|f| (f.label.clone(), f)).collect();
+    config.flavors = flavors
+        .into_iter()
+        .map(|flavor| (flavor.label.clone(), flavor))
+        .collect();
     let team = |guarantee, limit, weight| Team {
         guarantee,
         limit,
--- a/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
@@ -1,17 +1,18 @@
-//! Workers: heartbeats, and what they execute.
+//! Workers: sending heartbeats, executing commands, and running tasks.
 
 use super::*;
 
 impl Simulation {
-    pub(super) fn workers_report(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         let ids: Vec<MachineId> = self.workers.keys().cloned().collect();
         for id in ids {
-            let up = {
+            let sends = {
                 let worker = &self.workers[&id];
-                !worker.dead && worker.up_at <= self.now
+                !worker.lost && worker.boots_at <= self.now
             };
-            // Reports come each second, a few of them late.
-            if !up || self.rng.f64() < 0.5 {
+            // Each step of 500 ms a worker sends a heartbeat with a probability of one half, which
+            // is once per second on average.
+            if !sends || self.rng.f64() < 0.5 {
                 continue;
             }
             self.register(&id);
@@ -20,34 +21,37 @@
     }
 
     pub(super) fn send_heartbeat(&mut self, id: &MachineId) {
-        self.pass_time(id);
+        self.advance_tasks(id);
         let Some((record, _)) = self.records.get(id).cloned() else {
             return;
         };
         let heartbeat = self.heartbeat(id, &record);
-        let launch = self.rng.f64() < 0.95;
-        let reply = self.rng.f64() < 0.05;
-        let state = self.shards.get_mut(&record.shard).expect("a shard");
-        let taken = state.heartbeat(&heartbeat, reply, self.now, &self.config);
-        self.digest.number(match taken {
+        let may_launch = self.rng.f64() < 0.95;
+        let is_direct_reply = self.rng.f64() < 0.05;
+        let state = self
+            .shards
+            .get_mut(&record.shard)
+            .expect("recorded shard exists");
+        let outcome = state.heartbeat(&heartbeat, is_direct_reply, self.now, &self.config);
+        self.hasher.add_number(match outcome {
             HeartbeatOutcome::Stale => 0,
             HeartbeatOutcome::Unknown => 1,
             HeartbeatOutcome::Superseded => 2,
             HeartbeatOutcome::Fresh => 3,
         });
-        if taken != HeartbeatOutcome::Fresh {
+        if outcome != HeartbeatOutcome::Fresh {
             return;
         }
-        let commands = if reply {
+        let commands = if is_direct_reply {
             state.direct_commands(id)
         } else {
-            state.answer(id, launch, self.now, &self.config)
+            state.answer(id, may_launch, self.now, &self.config)
         };
         let fencing_token = state.machines[id].fencing_token(state.fencing_token);
-        self.digest.text(&id.0);
-        self.digest.bytes(&cbor::encode(&commands));
-        let worker = self.workers.get_mut(id).expect("a worker");
-        if self.now < worker.deaf_until {
+        self.hasher.add_text(&id.0);
+        self.hasher.add_bytes(&cbor::encode(&commands));
+        let worker = self.workers.get_mut(id).expect("machine has a worker");
+        if self.now < worker.inbound_partitioned_until {
             return;
         }
         worker.fencing_token = worker.fencing_token.max(fencing_token);
@@ -58,7 +62,7 @@
 
     pub(super) fn heartbeat(&mut self, id: &MachineId, record: &MachineRecord) -> Heartbeat {
         let now = self.now;
-        let worker = self.workers.get_mut(id).expect("a worker");
+        let worker = self.workers.get_mut(id).expect("machine has a worker");
         worker.seq += 1;
         let tasks = worker.tasks.iter().map(|t| TaskStatus {
             task: t.task.clone(),
@@ -76,29 +80,33 @@
             incarnation: worker.incarnation,
             seq: worker.seq,
             fencing_token: worker.fencing_token,
-            notice_s: worker.notice.map(|at| Amount(at.since(now).as_secs_f64())),
+            notice_s: worker
+                .preemption_at
+                .map(|at| Amount(at.since(now).as_secs_f64())),
             tasks: tasks.collect(),
         }
     }
 
-    /// Tasks of a machine come to their next state.
-    pub(super) fn pass_time(&mut self, id: &MachineId) {
+    /// Moves the tasks of a machine whose time has come to their next states. The machine is
+    /// lost when its preemption is due.
+    pub(super) fn advance_tasks(&mut self, id: &MachineId) {
         let (now, rng) = (self.now, &mut self.rng);
-        let worker = self.workers.get_mut(id).expect("a worker");
+        let worker = self.workers.get_mut(id).expect("machine has a worker");
         for task in &mut worker.tasks {
-            if now < task.until {
+            if now < task.next_state_at {
                 continue;
             }
             match task.state {
                 TaskState::Fetching | TaskState::Gathering => {
                     task.state = TaskState::Running;
-                    let longest = if worker.failing { 4.0 } else { 60.0 };
-                    task.until = now + Duration::from_secs_f64(1.0 + rng.f64() * longest);
+                    let max_run_time_s = if worker.fails_tasks { 4.0 } else { 60.0 };
+                    task.next_state_at =
+                        now + Duration::from_secs_f64(1.0 + rng.f64() * max_run_time_s);
                 }
                 TaskState::Running => {
                     task.state = TaskState::Exited;
-                    let fails = worker.failing || rng.f64() < 0.05;
-                    task.cause = Some(if fails { Cause::Error } else { Cause::Done });
+                    let is_failed = worker.fails_tasks || rng.f64() < 0.05;
+                    task.cause = Some(if is_failed { Cause::Error } else { Cause::Done });
                 }
                 TaskState::Saving => {
                     task.state = TaskState::Exited;
@@ -107,28 +115,28 @@
                 TaskState::Exited => {}
             }
         }
-        if worker.notice.is_some_and(|at| now >= at) {
-            worker.dead = true;
+        if worker.preemption_at.is_some_and(|at| now >= at) {
+            worker.lost = true;
         }
     }
 
     pub(super) fn execute(&mut self, id: &MachineId, command: Command) {
         let now = self.now;
-        let worker = self.workers.get_mut(id).expect("a worker");
+        let worker = self.workers.get_mut(id).expect("machine has a worker");
         match command {
             Command::Launch { task, attempt } => {
-                self.launches += 1;
-                let busy = worker.tasks.iter().any(|t| t.task == task);
-                worker.tasks.push(Running {
+                self.launch_count += 1;
+                let runs_other_attempt = worker.tasks.iter().any(|t| t.task == task);
+                worker.tasks.push(RunningTask {
                     task,
                     attempt,
-                    state: if busy {
+                    state: if runs_other_attempt {
                         TaskState::Exited
                     } else {
                         TaskState::Fetching
                     },
-                    cause: busy.then_some(Cause::Busy),
-                    until: now + Duration::from_secs(3),
+                    cause: runs_other_attempt.then_some(Cause::Busy),
+                    next_state_at: now + Duration::from_secs(3),
                 });
             }
             Command::Stop {
@@ -137,10 +145,10 @@
                 leeway_s,
             } => {
                 for running in worker.tasks.iter_mut() {
-                    let same = running.task == task && running.attempt == attempt;
-                    if same && running.state != TaskState::Exited {
+                    let is_same_attempt = running.task == task && running.attempt == attempt;
+                    if is_same_attempt && running.state != TaskState::Exited {
                         running.state = TaskState::Saving;
-                        running.until = now + Duration::from_secs_f64(leeway_s.min(2.0));
+                        running.next_state_at = now + Duration::from_secs_f64(leeway_s.min(2.0));
                     }
                 }
             }
--- a/crates/pulleywood-testkit/tests/documentation.rs
+++ b/crates/pulleywood-testkit/tests/documentation.rs
@@ -1,9 +1,10 @@
-//! What the pages name exists: files, folders, functions, types and tests.
+//! Checks that the files, folders, functions, types and tests that the documentation names
+//! exist.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Pages that are checked.
+/// Pages of the documentation that are checked.
 const PAGES: &[&str] = &[
     "README.md",
     "CONTRIBUTING.md",
@@ -15,17 +16,17 @@
     "docs/recovery-operations.md",
 ];
 
-/// Files that a page may name though a checkout has none.
+/// Files that a page may name although a checkout does not always have them.
 const OPTIONAL_FILES: &[&str] = &["KNOWN-RED.txt"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// What the repository holds that a page may name.
+/// The paths and names in the repository to which a page may refer.
 struct Repository {
     root: PathBuf,
-    /// Words of all sources, scripts and settings.
+    /// All words of the sources, scripts and settings in `crates/` and `deploy/`.
     words: BTreeSet<String>,
 }
 
@@ -39,8 +40,8 @@
         Repository { root, words }
     }
 
-    /// A path is meant from the root, from `crates/`, from a crate's sources, or from
-    /// the page itself.
+    /// Whether a path exists, relative to the root, to `crates/`, to the sources of the controller
+    /// or the scheduler, or to the folder of the page.
     fn has_path(&self, path: &str, page: &str) -> bool {
         let page = Path::new(page).parent().unwrap_or(Path::new(""));
         let folders = [
@@ -53,16 +54,16 @@
         OPTIONAL_FILES.contains(&path)
             || folders
                 .iter()
-                .any(|f| self.root.join(f).join(path).exists())
+                .any(|folder| self.root.join(folder).join(path).exists())
     }
 
-    /// `name…` stands for a name that begins so.
+    /// Whether a name exists; `name…` stands for any name with that prefix.
     fn has_name(&self, name: &str) -> bool {
         match name.strip_suffix('…') {
             None => self.words.contains(name),
-            Some(start) => {
-                let mut from = self.words.range(start.to_owned()..);
-                from.next().is_some_and(|word| word.starts_with(start))
+            Some(prefix) => {
+                let mut from = self.words.range(prefix.to_owned()..);
+                from.next().is_some_and(|word| word.starts_with(prefix))
             }
         }
     }
@@ -79,18 +80,18 @@
         }
         return;
     }
-    // The checks below must not find their own examples.
-    let own = path.file_name() == Path::new(file!()).file_name();
-    let source = path
+    // The names in the tests below that must not exist would otherwise be found in this file.
+    let is_this_file = path.file_name() == Path::new(file!()).file_name();
+    let is_source = path
         .extension()
-        .is_some_and(|e| e == "rs" || e == "lua" || e == "toml");
-    if source && !own {
+        .is_some_and(|extension| extension == "rs" || extension == "lua" || extension == "toml");
+    if is_source && !is_this_file {
         let text = std::fs::read_to_string(path).unwrap();
         words.extend(text.split(|c| !is_name_char(c)).map(str::to_owned));
     }
 }
 
-/// The texts between backticks, line by line.
+/// The texts between backticks on each line, except on lines of indented code blocks.
 fn code_spans(text: &str) -> Vec<&str> {
     let lines = text.lines().filter(|line| !line.starts_with("    "));
     lines
@@ -98,39 +99,40 @@
         .collect()
 }
 
-/// Targets of links to files of the repository.
+/// Targets of the links to files of the repository, without fragments.
 fn links(text: &str) -> Vec<&str> {
     let targets = text
         .split("](")
         .skip(1)
         .filter_map(|rest| rest.split(')').next());
-    let local = targets.filter(|target| !target.contains("://") && !target.starts_with('#'));
-    local
+    let local_targets =
+        targets.filter(|target| !target.contains("://") && !target.starts_with('#'));
+    local_targets
         .map(|target| target.split('#').next().unwrap_or(target))
         .collect()
 }
 
-fn looks_like_path(span: &str) -> bool {
-    let file = [".rs", ".md", ".toml", ".lua", ".txt"]
+fn is_path(span: &str) -> bool {
+    let is_file_name = [".rs", ".md", ".toml", ".lua", ".txt"]
         .iter()
-        .any(|e| span.ends_with(e));
-    let plain = span.chars().all(|c| is_name_char(c) || "./-".contains(c));
-    plain
-        && (file
+        .any(|extension| span.ends_with(extension));
+    let has_path_chars = span.chars().all(|c| is_name_char(c) || "./-".contains(c));
+    has_path_chars
+        && (is_file_name
             || (span.ends_with('/') && !span.starts_with("c/") && !span.starts_with("closed/")))
 }
 
-/// A function, type or test: `like_this`, `LikeThis`, `module::like_this` or
-/// `the_beginning_of…`.
+/// The names of functions, types and tests in a code span: `like_this`, `LikeThis`,
+/// `module::like_this` or `the_beginning_of…`.
 fn names(span: &str) -> Vec<&str> {
-    let plain = |c: char| is_name_char(c) || c == ':' || c == '…';
-    if !span.chars().all(plain) || span.starts_with(|c: char| c.is_ascii_digit()) {
+    let is_plain = |c: char| is_name_char(c) || c == ':' || c == '…';
+    if !span.chars().all(is_plain) || span.starts_with(|c: char| c.is_ascii_digit()) {
         return Vec::new();
     }
     let is_name = |name: &&str| {
-        let camel = name.chars().skip(1).any(|c| c.is_ascii_uppercase())
+        let is_camel_case = name.chars().skip(1).any(|c| c.is_ascii_uppercase())
             && name.chars().any(|c| c.is_ascii_lowercase());
-        camel || name.contains('_') || span.contains("::")
+        is_camel_case || name.contains('_') || span.contains("::")
     };
     span.split("::")
         .filter(|name| !name.is_empty())
@@ -138,43 +140,44 @@
         .collect()
 }
 
-/// What a page names that the repository does not have.
-fn missing(page: &str, text: &str, repository: &Repository) -> Vec<String> {
-    let mut missing = Vec::new();
+/// The links, paths and names on a page that do not exist in the repository, each described by
+/// one line.
+fn missing_names(page: &str, text: &str, repository: &Repository) -> Vec<String> {
+    let mut findings = Vec::new();
     for link in links(text) {
         if !repository.has_path(link, page) {
-            missing.push(format!("{page}: link to {link}"));
+            findings.push(format!("{page}: link to {link}"));
         }
     }
     for span in code_spans(text) {
-        if looks_like_path(span) {
+        if is_path(span) {
             if !repository.has_path(span, page) {
-                missing.push(format!("{page}: path {span}"));
+                findings.push(format!("{page}: path {span}"));
             }
             continue;
         }
         for name in names(span) {
             if !repository.has_name(name) {
-                missing.push(format!("{page}: name {name}"));
+                findings.push(format!("{page}: name {name}"));
             }
         }
     }
-    missing
+    findings
 }
 
 #[test]
 fn every_path_and_name_on_the_pages_exists() {
     let repository = Repository::read();
-    let mut all = Vec::new();
+    let mut findings = Vec::new();
     for page in PAGES {
         let text = std::fs::read_to_string(root().join(page)).unwrap();
-        all.extend(missing(page, &text, &repository));
+        findings.extend(missing_names(page, &text, &repository));
     }
-    assert!(all.is_empty(), "{}", all.join("\n"));
+    assert!(findings.is_empty(), "{}", findings.join("\n"));
 }
 
 #[test]
-fn a_page_that_names_what_does_not_exist_is_found_out() {
+fn missing_paths_and_names_on_a_page_are_reported() {
     let repository = Repository::read();
     let cases = [
         ("[x](no-such-page.md)", "link to no-such-page.md"),
@@ -192,9 +195,9 @@
         ("shown by `no_such_test…`", "name no_such_test…"),
     ];
     for (text, finding) in cases {
-        let found = missing("docs/architecture.md", text, &repository);
+        let findings = missing_names("docs/architecture.md", text, &repository);
         assert_eq!(
-            found,
+            findings,
             [format!("docs/architecture.md: {finding}")],
             "{text}"
         );
@@ -206,7 +209,7 @@
         "`c/part/P`, `cluster.state.rps`, `LOG_LEVEL`",
     ] {
         assert!(
-            missing("docs/architecture.md", text, &repository).is_empty(),
+            missing_names("docs/architecture.md", text, &repository).is_empty(),
             "{text}"
         );
     }
