--- a/crates/pulleywood-testkit/examples/cold_starts.rs
+++ b/crates/pulleywood-testkit/examples/cold_starts.rs
@@ -14,6 +14,8 @@
         .unwrap_or_else(|_| panic!("{text}: not a number"))
 }
 
+/// Runs `count` random cold starts on all CPUs, and prints the seeds with violations or audit
+/// findings. The exit code is 1 if there are any.
 fn run_random(first: u64, count: u64) -> ExitCode {
     let next_seed = AtomicU64::new(first);
     let failed_count = AtomicU64::new(0);
@@ -48,6 +50,8 @@
     ExitCode::from(u8::from(failed_count > 0))
 }
 
+/// Runs cold starts of given numbers of machines without random faults, and prints a line with
+/// the measurements of each.
 fn measure(seeds: u64, sizes: &[usize]) -> ExitCode {
     println!(
         "machines controllers recovery seed orders least requests intervals replicas_lost violations"
--- a/crates/pulleywood-testkit/src/store/endpoint.rs
+++ b/crates/pulleywood-testkit/src/store/endpoint.rs
@@ -86,11 +86,11 @@
         response
     }
 
-    /// Answers a long poll for events. No response is sent under [`Fault::Refuse`] or
-    /// [`Fault::NoAnswer`], even if the fault was set after the request had arrived.
+    /// Answers a long poll for events. The response is withheld while the fault is
+    /// [`Fault::Refuse`] or [`Fault::NoAnswer`], which may be set after the request arrived.
     fn watch(&self, request: &Request<'_>) -> Response {
         let number_parameter =
-            |name| query(request.query, name).and_then(|v| v.parse::<u64>().ok());
+            |name| query(request.query, name).and_then(|value| value.parse::<u64>().ok());
         let after = number_parameter("from").unwrap_or(0);
         let deadline =
             Instant::now() + Duration::from_millis(number_parameter("wait_ms").unwrap_or(0));
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Acquires and loads one shard, unless another controller changes its keys first.
     fn acquire(&mut self, shard: ShardId, store: &mut Store, config: &Config, now: MonotonicTime) {
         let Some(counter) = store.get(FENCING_TOKEN) else {
             return;
@@ -127,9 +128,10 @@
     }
 }
 
+/// The fencing token after the last one drawn.
 fn next_fencing_token(counter: &Item) -> FencingToken {
     let record = cbor::from_value::<FencingTokenCounter>(&counter.value);
-    record.map_or(FencingToken(0), |r| r.last).next()
+    record.map_or(FencingToken(0), |record| record.last).next()
 }
 
 /// The transaction that draws the holder's fencing token and makes the holder the leader of a
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -48,10 +48,13 @@
     /// When its process stops, to restart two seconds later; `None` if it keeps running.
     pub stop_at: Option<MonotonicTime>,
     running: bool,
+    /// Number of process starts, which tells the processes apart in lease records.
     boot: u64,
     last_store_contact: MonotonicTime,
+    /// Store revision up to which the cached state is complete.
     cached_revision: u64,
     led_shards: BTreeMap<ShardId, LedShard>,
+    /// Since when each shard without a leader has been vacant.
     vacant_since: BTreeMap<ShardId, MonotonicTime>,
     cached_jobs: BTreeSet<JobId>,
     cached_machines: BTreeSet<MachineId>,
@@ -112,7 +115,8 @@
             .count()
     }
 
-    /// Whether it surely still holds its lease, and may therefore launch tasks and commit.
+    /// Whether it certainly still holds its lease, and may therefore launch tasks, announce
+    /// fencing tokens and commit.
     fn may_act(&self, now: MonotonicTime, config: &Config) -> bool {
         let lease = surely_within(secs(config.policy.shard_lease_s));
         self.running && now < self.last_store_contact + lease
--- a/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
@@ -42,7 +42,7 @@
     pub machines: usize,
     /// Number of controllers; there are as many shards.
     pub controllers: usize,
-    /// Settings of the recovery subsystem after the cold start; `None` if it is disabled.
+    /// Settings of the recovery subsystem from the cold start on; `None` if it is disabled.
     pub recovery: Option<RecoveryPolicy>,
     /// Share of the machines, from 0 to 1, that are lost while all controllers are down. Fewer
     /// are lost where a shard would keep less than half of its machines.
@@ -62,7 +62,8 @@
     /// Number of commands that any recovery has to send: one launch for each task that no
     /// machine held at the cold start.
     pub min_commands: usize,
-    /// Number of requests to the store after the cold start, including those of the audit.
+    /// Number of requests to the store since the controllers stopped, including those of the
+    /// audit.
     pub store_requests: usize,
     /// Heartbeat intervals, rounded up, from the restart of the first controller until all
     /// service replicas run; `None` if they never all ran.
@@ -107,6 +108,7 @@
 /// subtracted from early times.
 const START: MonotonicTime = MonotonicTime(3_600_000);
 
+/// The settings of all scenarios, which differ only in the number of shards.
 fn config(controllers: usize) -> Config {
     let mut config = samples::config(controllers as u32);
     config.heartbeat_interval = Duration::from_secs(2);
@@ -157,10 +159,10 @@
             let machines = self.workers.iter().filter(|w| w.shard.0 == shard).count();
             let mut remaining_tasks = machines * SLOTS * 2 / 5;
             while remaining_tasks > 0 {
-                let service = job_number % 3 == 0;
+                let is_service = job_number % 3 == 0;
                 let tasks = (1 + self.rng.usize(0..12)).min(remaining_tasks);
                 remaining_tasks -= tasks;
-                let spec = self.spec(job_number, tasks as u32, service);
+                let spec = self.random_spec(job_number, tasks as u32, is_service);
                 self.submitted_tasks
                     .extend((0..spec.tasks).map(|index| TaskId {
                         job: spec.id.clone(),
@@ -175,20 +177,20 @@
 
     /// Whether at least half of the shard's machines stay reachable if one more is lost.
     fn can_lose_machine(&self, shard: ShardId) -> bool {
-        let of_shard = self.workers.iter().filter(|w| w.shard == shard);
-        let (mut all, mut unreachable) = (0, 0);
-        for worker in of_shard {
-            all += 1;
+        let shard_workers = self.workers.iter().filter(|w| w.shard == shard);
+        let (mut total, mut unreachable) = (0, 0);
+        for worker in shard_workers {
+            total += 1;
             unreachable += usize::from(!worker.is_reachable(self.now));
         }
-        (unreachable + 1) * 2 <= all
+        (unreachable + 1) * 2 <= total
     }
 
-    fn spec(&mut self, job_number: u64, tasks: u32, service: bool) -> JobSpec {
+    fn random_spec(&mut self, job_number: u64, tasks: u32, is_service: bool) -> JobSpec {
         let ranks = [Rank::Standard, Rank::Idle];
-        let id = JobId::parse(&format!("j-{job_number:06}")).expect("a job id");
+        let id = JobId::parse(&format!("j-{job_number:06}")).expect("job number forms a valid id");
         let mut spec = samples::spec(id, tasks);
-        if service {
+        if is_service {
             (spec.shape, spec.rank) = (Shape::Service, Rank::Production);
         } else {
             // A task is never preempted for one of the same rank.
@@ -217,6 +219,7 @@
         self.finish()
     }
 
+    /// Advances the cluster step by step until `end`.
     fn run_until(&mut self, end: MonotonicTime, observe: Observer<'_>) {
         while self.now < end {
             self.now = self.now + STEP;
@@ -327,17 +330,17 @@
         }
         let rng = &mut self.rng;
         if rng.f64() < 0.3 {
-            let from = now + random_seconds(rng, 10.0);
-            self.store.outage = Some((from, from + random_seconds(rng, 25.0)));
-            last_fault_end = last_fault_end.max(from + Duration::from_secs(25));
+            let outage_start = now + random_seconds(rng, 10.0);
+            self.store.outage = Some((outage_start, outage_start + random_seconds(rng, 25.0)));
+            last_fault_end = last_fault_end.max(outage_start + Duration::from_secs(25));
         }
         if rng.f64() < 0.3 {
-            // A second cold start while the first recovery is in progress.
-            let at = restart_at + random_seconds(rng, 15.0);
+            // A second cold start, possibly while the first recovery is still in progress.
+            let second_stop_at = restart_at + random_seconds(rng, 15.0);
             for controller in &mut self.controllers {
-                controller.stop_at = Some(at);
+                controller.stop_at = Some(second_stop_at);
             }
-            last_fault_end = last_fault_end.max(at);
+            last_fault_end = last_fault_end.max(second_stop_at);
         }
         // Jobs whose cancellation was recorded just before the cold start.
         for _ in 0..rng.usize(0..3) {
@@ -352,8 +355,8 @@
     /// holds and that are not recorded as done.
     fn count_lost_tasks(&mut self) {
         for task in &self.submitted_tasks {
-            let held = self.workers.iter().any(|w| w.holds(task));
-            if self.store.is_live(&task.job) && !held && !self.store.is_done(task) {
+            let is_held = self.workers.iter().any(|w| w.holds(task));
+            if self.store.is_live(&task.job) && !is_held && !self.store.is_done(task) {
                 self.outcome.min_commands += 1;
                 self.outcome.replicas_lost += usize::from(self.store.is_service(&task.job));
             }
--- a/crates/pulleywood-testkit/src/virtual_cluster/store.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/store.rs
@@ -67,6 +67,7 @@
         store
     }
 
+    /// Writes a key at a new store revision.
     fn put(&mut self, path: String, value: Value) {
         self.revision += 1;
         self.write(path, value);
--- a/crates/pulleywood-testkit/src/virtual_cluster/worker.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/worker.rs
@@ -48,6 +48,7 @@
     /// When it completes; `None` before it runs, and for replicas of services.
     ends_at: Option<MonotonicTime>,
     running: bool,
+    /// Why it exited; `None` until then.
     exit: Option<Cause>,
 }
 
@@ -61,11 +62,13 @@
     pub zone: String,
     /// Until when messages are dropped in both directions; zero if it was never partitioned.
     pub partitioned_until: MonotonicTime,
+    /// Whether the machine is lost for good.
     lost: bool,
     incarnation: u64,
     seq: u64,
     /// The highest fencing token that it has seen.
     pub fencing_token: FencingToken,
+    /// When it executed the last response, or its last lease expired.
     lease_renewed_at: MonotonicTime,
     next_heartbeat_at: MonotonicTime,
     /// State of the linear congruential generator that varies the heartbeat intervals.
@@ -213,7 +216,7 @@
         self.is_reachable(now)
     }
 
-    /// Sends the next heartbeat one second after `now`, because no controller answered.
+    /// Schedules the next heartbeat one second after `now`, because no controller answered.
     pub fn retry_heartbeat(&mut self, now: MonotonicTime) {
         self.next_heartbeat_at = now + Duration::from_secs(1);
     }
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -49,6 +49,7 @@
     attempt: Attempt,
     /// When it completes; `None` for replicas of services and for tasks that never ran.
     ends_at: Option<Instant>,
+    /// Why it exited; `None` until then.
     exit: Option<Cause>,
 }
 
