--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -148,7 +148,7 @@
     };
     let record = PreviousLeaseHolder {
         holder: holder.clone(),
-        reconciled: reconciled,
+        reconciled,
     };
     let vacant = Transaction::default().when(shard_leader_key(shard), Revision(0));
     next_counter
