--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancelling a job: one transaction ends it, wherever it is stored.
+//! Cancels jobs. One transaction deletes a job's live record, or removes the job from its
+//! job batch, and writes its final state.
 
 use crate::state::{ControllerContext, read};
 use pulleywood_protocol::job_batch::JobBatchRecord;
@@ -11,45 +12,48 @@
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::collections::BTreeSet;
 
-/// How an attempt to cancel a job ended.
+/// Result of an attempt to cancel a job.
 pub enum CancelOutcome {
-    /// The job is cancelled; this is its final state.
+    /// The job is cancelled and has this final state.
     Cancelled(FinalRecord),
-    /// What is stored of it has changed meanwhile: it is to be looked up again.
-    Changed,
+    /// The stored job changed concurrently, or its record cannot be read: the caller looks
+    /// the job up again.
+    Conflict,
 }
 
-/// A cancellation to be committed.
+/// A cancellation that is ready to be committed.
 struct PreparedCancellation {
-    state: FinalRecord,
-    /// The job batch that the job leaves, as it is then.
+    final_state: FinalRecord,
+    /// Number and new content of the job batch that the job is removed from; `None` as the
+    /// content deletes the batch. Empty if the job has a record of its own.
     job_batches: Vec<(u64, Option<JobBatchRecord>)>,
     transaction: Transaction,
 }
 
-/// A job's record and the tasks recorded as done, with what deletes it.
+/// A job's record, its tasks that are recorded as done, and the transaction that deletes the
+/// record.
 struct StoredRecord {
     record: JobRecord,
     done: TaskSet,
     transaction: Transaction,
 }
 
-/// Deletes the live record with its continuations, or takes the job out of its job batch,
-/// and writes the final state.
+/// Deletes the live record and its continuation records, or removes the job from its job
+/// batch, and writes the final state.
 pub fn commit_cancellation(
     context: &ControllerContext,
     shard: ShardId,
     id: &JobId,
 ) -> Result<CancelOutcome, StoreError> {
     let Some(prepared) = prepare(context, shard, id)? else {
-        return Ok(CancelOutcome::Changed);
+        return Ok(CancelOutcome::Conflict);
     };
     match context
         .store
         .commit(RequestPriority::User, &prepared.transaction)?
     {
         Outcome::Applied(revision) => Ok(prepared.apply(context, id, revision)),
-        Outcome::Conflict => Ok(CancelOutcome::Changed),
+        Outcome::Conflict => Ok(CancelOutcome::Conflict),
     }
 }
 
@@ -60,31 +64,36 @@
 ) -> Result<Option<PreparedCancellation>, StoreError> {
     let key = job_key(shard, id);
     let transaction = Transaction::default().when(final_key(id), Revision(0));
-    let (chunk, in_batch, transaction, job_batches) = {
+    let (chunk_size, batched_record, transaction, job_batches) = {
         let controller = context.controller.lock();
         let batches = &controller.cached.job_batches;
         let (transaction, job_batches) =
             batches.take_out(transaction, &BTreeSet::from([id.clone()]));
-        let in_batch = batches.record(id).cloned();
-        (controller.config.chunk, in_batch, transaction, job_batches)
+        let batched_record = batches.record(id).cloned();
+        (
+            controller.config.chunk,
+            batched_record,
+            transaction,
+            job_batches,
+        )
     };
-    let stored = match in_batch {
+    let stored = match batched_record {
         Some(record) => Some(StoredRecord {
             record,
             done: TaskSet::new(),
             transaction: transaction.when(key, Revision(0)),
         }),
-        None => read_record(context, &key, chunk, transaction)?,
+        None => read_record(context, &key, chunk_size, transaction)?,
     };
-    Ok(stored.map(|stored| stored.cancelled(id, job_batches)))
+    Ok(stored.map(|stored| stored.into_cancellation(id, job_batches)))
 }
 
-/// Reads a live record with its continuations, and adds to the transaction that they are
-/// deleted; none if there is no record, or if it cannot be read.
+/// Reads a live record and its continuation records, and adds their deletion to the
+/// transaction. Returns `None` if the record does not exist or cannot be read.
 fn read_record(
     context: &ControllerContext,
     key: &str,
-    chunk: u32,
+    chunk_size: u32,
     transaction: Transaction,
 ) -> Result<Option<StoredRecord>, StoreError> {
     let Some(item) = context.store.get(RequestPriority::User, key)? else {
@@ -95,16 +104,18 @@
     };
     let tasks = record.spec.tasks;
     let mut done = TaskSet::new();
-    done.add_chunk(&record.done, 0, chunk, tasks);
+    done.add_chunk(&record.done, 0, chunk_size, tasks);
     let mut transaction = transaction.when(key, item.revision).delete(key);
-    if tasks > chunk {
-        let continuations = format!("{key}/");
-        let (items, _) = context.store.list(RequestPriority::User, &continuations)?;
+    if tasks > chunk_size {
+        let continuation_prefix = format!("{key}/");
+        let (items, _) = context
+            .store
+            .list(RequestPriority::User, &continuation_prefix)?;
         for item in items {
-            if let Some(Key::Job(_, _, n)) = Key::parse(&item.path)
-                && let Some(more) = read::<ChunkRecord>(Some(&item.value), &item.path)
+            if let Some(Key::Job(_, _, chunk_index)) = Key::parse(&item.path)
+                && let Some(continuation) = read::<ChunkRecord>(Some(&item.value), &item.path)
             {
-                done.add_chunk(&more.done, n, chunk, tasks);
+                done.add_chunk(&continuation.done, chunk_index, chunk_size, tasks);
                 transaction = transaction
                     .when(item.path.clone(), item.revision)
                     .delete(item.path);
@@ -119,15 +130,16 @@
 }
 
 impl StoredRecord {
-    fn cancelled(
+    fn into_cancellation(
         self,
         id: &JobId,
         job_batches: Vec<(u64, Option<JobBatchRecord>)>,
     ) -> PreparedCancellation {
-        let state = FinalRecord::new(&self.record.spec, JobStatus::Cancelled, self.done.len());
-        let transaction = self.transaction.write(final_key(id), &state);
+        let final_state =
+            FinalRecord::new(&self.record.spec, JobStatus::Cancelled, self.done.len());
+        let transaction = self.transaction.write(final_key(id), &final_state);
         PreparedCancellation {
-            state,
+            final_state,
             job_batches,
             transaction,
         }
@@ -140,6 +152,6 @@
         let mut controller = context.controller.lock();
         controller.end_job(id, revision);
         controller.left_job_batches(self.job_batches, revision, now);
-        CancelOutcome::Cancelled(self.state)
+        CancelOutcome::Cancelled(self.final_state)
     }
 }
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -1,5 +1,5 @@
-//! What users are told of a job. It rests on a commit or on a read begun after the
-//! request came; only final states are kept.
+//! Responses to users about the status of a job. Each is based on a commit, or on a read
+//! that began after the request arrived. Only final states are cached beyond a request.
 
 use crate::state::{ControllerContext, read};
 use pulleywood_protocol::job::JobAnswer;
@@ -9,23 +9,24 @@
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::time::Duration;
 
-/// Final states read together with one that is asked for.
-const NEIGHBOURS: u32 = 60;
-/// A peer's count of running tasks is shown for this long.
-const FRESH_DIGEST: Duration = Duration::from_secs(5);
+/// Number of consecutive final states that one read fetches.
+const FINAL_STATES_PER_READ: u32 = 60;
+/// The numbers of running tasks in a peer's digest are shown up to this age.
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(5);
 
-/// A job as stored.
+/// What the store holds about a job.
 pub enum StoredJob {
     /// Live, with this many tasks recorded as done.
     Live(u32),
-    /// Ended.
+    /// Done or cancelled, with this final state.
     Final(FinalRecord),
-    /// Not known.
+    /// Neither live nor final: no job of this id was accepted.
     Unknown,
 }
 
-/// What is stored of a job. Another controller may have told its user more than this one
-/// has seen: what is not final rests on a read begun after the request came.
+/// Looks a job up. Another controller may already have answered the user with a newer state
+/// than this one has seen, so any state that is not final is based on a read that began after
+/// the request arrived.
 pub fn lookup(context: &ControllerContext, id: &JobId) -> Result<StoredJob, StoreError> {
     if let Some(state) = context.finals.lock().get(id) {
         return Ok(StoredJob::Final(state));
@@ -34,43 +35,46 @@
     if let Some(done) = context.controller.lock().cached.jobs.get(id) {
         return Ok(StoredJob::Live(*done));
     }
-    // That read may have brought its end. Else it was not live then: if it has no final
-    // state now, it was not known.
+    // The job was not live at the time of that read. If it has no final state now either, it
+    // was never accepted.
     Ok(match final_state(context, id)? {
         Some(state) => StoredJob::Final(state),
         None => StoredJob::Unknown,
     })
 }
 
-/// A job's final state, if it has one. What the watch did not bring, as it was before this
-/// process, is read with those next to it: after a restart every user may ask, and a
-/// request for each would exceed the store's rate.
+/// Returns a job's final state, if it has one. Final states that were written before this
+/// process started are not delivered by the watch. They are read in pages of consecutive keys:
+/// after a restart every user may poll, and one read per job would exceed the store's rate.
 fn final_state(context: &ControllerContext, id: &JobId) -> Result<Option<FinalRecord>, StoreError> {
     if let Some(state) = context.finals.lock().get(id) {
         return Ok(Some(state));
     }
     let key = final_key(id);
     let after = before_final_key(id);
-    let page = context
-        .store
-        .slice(RequestPriority::Question, CLOSED, &after, NEIGHBOURS)?;
-    let beyond = !page.more || page.items.last().is_some_and(|last| last.path >= key);
-    let mut finals = context.finals.lock();
+    let page = context.store.slice(
+        RequestPriority::Question,
+        CLOSED,
+        &after,
+        FINAL_STATES_PER_READ,
+    )?;
+    let page_covers_key = !page.more || page.items.last().is_some_and(|last| last.path >= key);
+    let mut final_states = context.finals.lock();
     for item in &page.items {
         if let Some(job) = closed_job(&item.path)
             && let Some(state) = read(Some(&item.value), &item.path)
         {
-            finals.put(&job, state);
+            final_states.put(&job, state);
         }
     }
-    if let Some(state) = finals.get(id) {
+    if let Some(state) = final_states.get(id) {
         return Ok(Some(state));
     }
-    drop(finals);
-    if beyond {
+    drop(final_states);
+    if page_covers_key {
         return Ok(None);
     }
-    // Longer ids with the same beginning come before it.
+    // Longer ids with the same prefix sort before this key and have filled the page.
     let Some(item) = context.store.get(RequestPriority::Question, &key)? else {
         return Ok(None);
     };
@@ -81,17 +85,17 @@
     Ok(state)
 }
 
-/// The response to a user's request about a job.
+/// Responds to a user's request about a job.
 pub fn respond(context: &ControllerContext, id: &JobId, stored: &StoredJob) -> Response {
     match stored {
         StoredJob::Unknown => Response::status(404),
-        StoredJob::Final(state) => respond_with(id, state.status, state.done, 0),
-        StoredJob::Live(done) => progress(context, id, *done),
+        StoredJob::Final(state) => status_response(id, state.status, state.done, 0),
+        StoredJob::Live(done) => respond_live(context, id, *done),
     }
 }
 
-/// A response that shows a job's status and its tasks.
-fn respond_with(id: &JobId, status: JobStatus, done: u32, running: u32) -> Response {
+/// Builds the response with a job's status and its numbers of done and running tasks.
+fn status_response(id: &JobId, status: JobStatus, done: u32, running: u32) -> Response {
     let answer = JobAnswer {
         uid: id.clone(),
         status,
@@ -101,12 +105,13 @@
     Response::cbor(200, &answer)
 }
 
-/// A live job's response, with tasks done and running for display: its leaders' counts
-/// where they are here or in digests, else the recorded one.
-fn progress(context: &ControllerContext, id: &JobId, recorded: u32) -> Response {
+/// Responds with the progress of a live job. The numbers of running tasks come from led shards
+/// and from peers' fresh digests; the number of done tasks comes from a led shard that knows
+/// the job, or else from the store. They are informative only.
+fn respond_live(context: &ControllerContext, id: &JobId, recorded_done: u32) -> Response {
     let now = context.clock.now();
     let controller = context.controller.lock();
-    let mut done = recorded;
+    let mut done = recorded_done;
     let mut running = 0;
     for led in controller.led_shards.values() {
         running += led.state.running(id);
@@ -117,7 +122,7 @@
     running += controller
         .digests
         .values()
-        .filter(|d| d.is_fresh(now, FRESH_DIGEST))
+        .filter(|d| d.is_fresh(now, MAX_DIGEST_AGE))
         .flat_map(|d| &d.digest.shards)
         .filter(|shard| !controller.led_shards.contains_key(&shard.shard))
         .flat_map(|shard| &shard.running)
@@ -130,5 +135,5 @@
     } else {
         JobStatus::Queued
     };
-    respond_with(id, status, done, running)
+    status_response(id, status, done, running)
 }
--- a/crates/pulleywood-controller/src/api/mod.rs
+++ b/crates/pulleywood-controller/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What others ask of this controller: users, workers, peers and the platform's probe.
+//! Request handlers: users, workers, other controllers, and the platform's readiness probe.
 
 mod cancellations;
 mod health;
--- a/crates/pulleywood-controller/src/api/peers.rs
+++ b/crates/pulleywood-controller/src/api/peers.rs
@@ -1,10 +1,10 @@
-//! Requests of other controllers.
+//! Handler of requests from other controllers.
 
 use crate::shard::leader_requests;
 use crate::state::ControllerContext;
 use pulleywood_protocol::peer::{PeerRequest, PeerResponse};
 
-/// Answers another controller.
+/// Handles a request from another controller.
 pub fn answer(context: &ControllerContext, request: PeerRequest) -> PeerResponse {
     match request {
         PeerRequest::Digest(digest) => {
--- a/crates/pulleywood-controller/src/api/router.rs
+++ b/crates/pulleywood-controller/src/api/router.rs
@@ -1,23 +1,23 @@
-//! Routes of the HTTP interface of users, workers and the platform's probe.
+//! Routes of the HTTP interface for users, workers and the platform's readiness probe.
 
 use super::{health, users, workers};
 use crate::state::ControllerContext;
 use pulleywood_transport::server::{Handler, Request, Response, Sender};
 use std::sync::Arc;
 
-const HEARTBEATS: &str = "/v1/report";
+const HEARTBEAT: &str = "/v1/report";
 const READY: &str = "/ready";
-const JOBS: &str = "/v2/runs";
+const SUBMIT: &str = "/v2/runs";
 const JOB_PREFIX: &str = "/v2/runs/";
 const CANCEL: &str = "cancel";
 
-/// Routes HTTP requests.
+/// Dispatches HTTP requests to their handlers.
 pub struct RequestRouter(pub Arc<ControllerContext>);
 
 impl Handler for RequestRouter {
     fn sender(&self, request: &Request<'_>) -> Sender {
         match request.path {
-            HEARTBEATS => Sender::Worker,
+            HEARTBEAT => Sender::Worker,
             READY => Sender::Probe,
             _ => Sender::User,
         }
@@ -26,14 +26,14 @@
     fn handle(&self, request: &Request<'_>) -> Response {
         let context = &self.0;
         match request.path {
-            HEARTBEATS => post(request, || workers::heartbeat(context, request.body)),
+            HEARTBEAT => require_post(request, || workers::heartbeat(context, request.body)),
             READY => match request.method {
                 "GET" | "HEAD" => health::ready(context),
-                _ => not_allowed("GET"),
+                _ => method_not_allowed("GET"),
             },
-            JOBS => post(request, || users::submit(context, request.body)),
+            SUBMIT => require_post(request, || users::submit(context, request.body)),
             path => match path.strip_prefix(JOB_PREFIX) {
-                Some(job) => self.handle_job(request, job),
+                Some(job_path) => self.handle_job(request, job_path),
                 None => Response::status(404),
             },
         }
@@ -41,26 +41,26 @@
 }
 
 impl RequestRouter {
-    fn handle_job(&self, request: &Request<'_>, job: &str) -> Response {
+    fn handle_job(&self, request: &Request<'_>, job_path: &str) -> Response {
         let context = &self.0;
-        match job.split_once('/') {
-            None if request.method == "GET" => users::poll(context, job),
-            None => not_allowed("GET"),
-            Some((id, CANCEL)) => post(request, || users::cancel(context, id)),
+        match job_path.split_once('/') {
+            None if request.method == "GET" => users::poll(context, job_path),
+            None => method_not_allowed("GET"),
+            Some((id, CANCEL)) => require_post(request, || users::cancel(context, id)),
             Some(_) => Response::status(404),
         }
     }
 }
 
-fn post(request: &Request<'_>, respond: impl FnOnce() -> Response) -> Response {
+fn require_post(request: &Request<'_>, respond: impl FnOnce() -> Response) -> Response {
     if request.method == "POST" {
         respond()
     } else {
-        not_allowed("POST")
+        method_not_allowed("POST")
     }
 }
 
-fn not_allowed(allow: &'static str) -> Response {
+fn method_not_allowed(allow: &'static str) -> Response {
     Response {
         status: 405,
         allow: Some(allow),
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -1,5 +1,5 @@
-//! Accepting submissions: one by itself, or many in a job batch when there are more of
-//! them than write tokens.
+//! Commits submissions: each in a record of its own, or several in one job batch when there
+//! are more of them than write tokens.
 
 use crate::batch_queue::WaitOutcome;
 use crate::state::queues::{SubmissionOutcome, WaitingSubmission};
@@ -14,54 +14,55 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A submission waits this long for the transaction that it shares.
+/// Longest wait of a submission for the commit of its job batch.
 const SUBMISSION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Attempts to write one job batch while other controllers write theirs.
-const ATTEMPTS: u32 = 4;
-/// Writes in the transaction of a job batch: its head and the batch.
-const WRITES: u32 = 2;
-/// Bytes around the records of a job batch.
+/// Most attempts to write one job batch; they conflict with the batches of other controllers.
+const MAX_WRITE_ATTEMPTS: u32 = 4;
+/// Writes in the transaction of a job batch: the head and the batch.
+const WRITES_PER_BATCH: u32 = 2;
+/// Bytes of a stored job batch in addition to its records.
 const FRAME_BYTES: usize = 64;
-/// When to try again, if the store said nothing of it.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Delay after which a user retries, if the budget gives none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Submissions that wait, by their number in the queue.
+/// Waiting submissions by their number in the queue.
 type WaitingSubmissions = BTreeMap<u64, WaitingSubmission>;
 
-/// Room in one job batch.
-struct Limits {
+/// Capacity of one job batch.
+struct JobBatchLimits {
     jobs: usize,
     bytes: usize,
 }
 
-impl Limits {
-    fn new(context: &ControllerContext) -> Limits {
+impl JobBatchLimits {
+    fn new(context: &ControllerContext) -> JobBatchLimits {
         let state = &context.settings.cluster.state;
-        // Two compares a job, two for the head and the job batch itself.
-        Limits {
+        // A transaction has two compares for each job, one for the head and one for the job
+        // batch.
+        JobBatchLimits {
             jobs: (state.txn_ops as usize * 4).saturating_sub(2) / 2,
             bytes: (state.value_kb * 1024.0) as usize - FRAME_BYTES,
         }
     }
 }
 
-/// One job batch to be written.
+/// A job batch that is ready to be written.
 struct PreparedJobBatch {
     head: BatchHead,
     batch: JobBatchRecord,
-    /// Shards of the layout, by which the keys of jobs are made.
+    /// Number of shards, which the keys of jobs depend on.
     shards: u32,
     transaction: Transaction,
 }
 
-/// Has a submission accepted with others. One that does not fit into the next job batch
-/// is refused at once, with the given error.
+/// Queues a submission for the next job batch and waits for the outcome. A submission that
+/// does not fit into that batch is refused at once, with the given error.
 pub fn accept_batched(
     context: &ControllerContext,
     record: JobRecord,
-    refused: StoreError,
+    refusal: StoreError,
 ) -> SubmissionOutcome {
-    let limits = Limits::new(context);
+    let limits = JobBatchLimits::new(context);
     let bytes = serde_json::to_vec(&record).map_or(usize::MAX, |json| json.len() + 1);
     let fits = |waiting: &WaitingSubmissions| {
         let used: usize = waiting.values().map(|w| w.bytes).sum();
@@ -71,17 +72,17 @@
     let submissions = &context.submissions;
     match submissions.join(submission, SUBMISSION_TIMEOUT, fits) {
         WaitOutcome::Reported(outcome) => outcome,
-        WaitOutcome::Full | WaitOutcome::NotTaken => SubmissionOutcome::Refused(refused),
-        // Its transaction is under way; the user's retry will find the outcome.
-        WaitOutcome::Pending => {
-            SubmissionOutcome::Refused(StoreError::Unknown("no answer yet".into()))
-        }
+        WaitOutcome::Full | WaitOutcome::NotTaken => SubmissionOutcome::Refused(refusal),
+        // Its job batch is being written; the user's retry finds the outcome.
+        WaitOutcome::Pending => SubmissionOutcome::Refused(StoreError::Unknown(format!(
+            "the job batch was not committed within {SUBMISSION_TIMEOUT:?}"
+        ))),
     }
 }
 
-/// Accepts one job in a record of its own, with the write token taken before.
-/// `head`: revision of the job batches' head that the job was not known at.
-pub fn accept_alone(
+/// Accepts one job in a record of its own. The caller has taken the write token. `head` is the
+/// revision of the job batches' head at which the job was not known.
+pub fn accept_unbatched(
     context: &ControllerContext,
     shard: ShardId,
     record: &JobRecord,
@@ -99,25 +100,25 @@
             let now = context.clock.now();
             context.controller.lock().put_job(record, revision, now);
             let (tasks, team) = (record.spec.tasks, &record.spec.team);
-            log::debug!("accepted {id}: {tasks} tasks of {team}");
+            log::debug!("accepted job {id} of team {team} with {tasks} tasks");
             SubmissionOutcome::Accepted
         }
-        // A job batch was written meanwhile, perhaps with this very job.
-        Ok(Err(failed)) if failed.iter().all(|key| key == JOB_BATCH_HEAD) => {
-            SubmissionOutcome::Refused(StoreError::Budget(RETRY_AFTER))
+        // A job batch was written concurrently and may contain this job.
+        Ok(Err(failed_keys)) if failed_keys.iter().all(|key| key == JOB_BATCH_HEAD) => {
+            SubmissionOutcome::Refused(StoreError::Budget(DEFAULT_RETRY_AFTER))
         }
         Ok(Err(_)) => SubmissionOutcome::Known,
         Err(e) => SubmissionOutcome::Refused(e),
     }
 }
 
-/// Writes job batches; runs for the life of the process.
+/// Writes the queued submissions as job batches. Runs for the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     let submissions = &context.submissions;
     loop {
         submissions.wait();
-        // Submissions that come until there are tokens share the transaction. One alone
-        // needs no job batch, which is two writes.
+        // Submissions that arrive until there are tokens share the transaction. A single one
+        // gets a record of its own, which takes one write instead of two.
         let mut tokens = context.store.take(RequestPriority::JobBatch, 1);
         let several = submissions.len() > 1;
         if several && tokens.is_ok() {
@@ -126,31 +127,32 @@
         let mut waiting = submissions.take(usize::MAX);
         if tokens.is_ok() && !several {
             match waiting.len() {
-                1 => waiting = write_alone(context, waiting),
+                1 => waiting = write_unbatched(context, waiting),
                 _ => tokens = context.store.take(RequestPriority::JobBatch, 1),
             }
         }
         match tokens {
             Ok(()) => write_job_batch(context, waiting),
-            Err(StoreError::Budget(wait)) => refuse(context, waiting, wait),
-            Err(_) => refuse(context, waiting, RETRY_AFTER),
+            Err(StoreError::Budget(retry_after)) => refuse(context, waiting, retry_after),
+            Err(_) => refuse(context, waiting, DEFAULT_RETRY_AFTER),
         }
     }
 }
 
-/// Refuses submissions for lack of write tokens.
-fn refuse(context: &ControllerContext, waiting: WaitingSubmissions, wait: Duration) {
+/// Refuses submissions because there are no write tokens.
+fn refuse(context: &ControllerContext, waiting: WaitingSubmissions, retry_after: Duration) {
     context.submissions.report(waiting.into_keys(), || {
-        SubmissionOutcome::Refused(StoreError::Budget(wait))
+        SubmissionOutcome::Refused(StoreError::Budget(retry_after))
     });
 }
 
-/// Accepts the one submission that waits, with one token taken before. What is returned
-/// needs a job batch, as others wrote theirs meanwhile; its tokens are taken.
-fn write_alone(context: &ControllerContext, waiting: WaitingSubmissions) -> WaitingSubmissions {
+/// Accepts the only waiting submission in a record of its own, with the one token that was
+/// taken. Returns the submission if it needs a job batch after all, since another controller
+/// wrote one concurrently; the tokens for that batch are taken then.
+fn write_unbatched(context: &ControllerContext, waiting: WaitingSubmissions) -> WaitingSubmissions {
     for (number, WaitingSubmission { record, .. }) in &waiting {
         let id = &record.spec.id;
-        let (known, head, shards) = {
+        let (is_live, head, shards) = {
             let controller = context.controller.lock();
             (
                 controller.is_live(id),
@@ -158,15 +160,15 @@
                 controller.config.shards,
             )
         };
-        let outcome = if known {
+        let outcome = if is_live {
             SubmissionOutcome::Known
         } else {
-            accept_alone(context, id.shard(shards), record, head)
+            accept_unbatched(context, id.shard(shards), record, head)
         };
         if matches!(outcome, SubmissionOutcome::Refused(StoreError::Budget(_)))
             && context
                 .store
-                .take(RequestPriority::JobBatch, WRITES)
+                .take(RequestPriority::JobBatch, WRITES_PER_BATCH)
                 .is_ok()
         {
             return waiting;
@@ -176,12 +178,12 @@
     BTreeMap::new()
 }
 
-/// Writes a job batch with the tokens for its first attempt taken before.
+/// Writes a job batch. The tokens for the first attempt have been taken.
 fn write_job_batch(context: &Arc<ControllerContext>, mut waiting: WaitingSubmissions) {
     if waiting.is_empty() {
         return;
     }
-    for attempt in 0..ATTEMPTS {
+    for attempt in 0..MAX_WRITE_ATTEMPTS {
         refresh_job_batches(context);
         let (head, shards) = report_known(context, &mut waiting);
         refuse_duplicates(context, &mut waiting);
@@ -189,15 +191,16 @@
             return;
         }
         if attempt > 0
-            && let Err(StoreError::Budget(wait)) =
-                context.store.take(RequestPriority::JobBatch, WRITES)
+            && let Err(StoreError::Budget(retry_after)) = context
+                .store
+                .take(RequestPriority::JobBatch, WRITES_PER_BATCH)
         {
-            return refuse(context, waiting, wait);
+            return refuse(context, waiting, retry_after);
         }
         let prepared = prepare(head, shards, &waiting);
         match context.store.commit_with_tokens(&prepared.transaction) {
             Ok(Ok(revision)) => return prepared.apply(context, revision, waiting),
-            Ok(Err(failed)) => prepared.report_conflicts(context, &failed, &mut waiting),
+            Ok(Err(failed_keys)) => prepared.report_conflicts(context, &failed_keys, &mut waiting),
             Err(e) => {
                 log::debug!("failed to write job batch {}: {e}", prepared.head.last);
                 break;
@@ -209,16 +212,17 @@
     });
 }
 
-/// At a burst other controllers write job batches too. A transaction that rests on an
-/// old head is refused and counts against the store's write rate; a read does not.
+/// Reads the newest job batches. During a burst other controllers write job batches too. A
+/// transaction that compares an outdated head is refused and still counts against the store's
+/// write rate, which a read does not.
 fn refresh_job_batches(context: &Arc<ControllerContext>) {
     if let Err(e) = watch::changes(context, RequestPriority::JobBatch, Duration::ZERO) {
         log::debug!("failed to read the job batches: {e}");
     }
 }
 
-/// Jobs that are live already no longer wait. Returns the head of the job batches that
-/// the others are not known at, and the number of shards.
+/// Reports the jobs that are already live as known. Returns the head of the job batches at
+/// which the others are not known, and the number of shards.
 fn report_known(
     context: &ControllerContext,
     waiting: &mut WaitingSubmissions,
@@ -236,7 +240,7 @@
     (head, shards)
 }
 
-/// The same job twice in one job batch would be two jobs.
+/// Refuses further submissions of the same job id: a job batch must contain a job once.
 fn refuse_duplicates(context: &ControllerContext, waiting: &mut WaitingSubmissions) {
     let mut ids: BTreeSet<&JobId> = BTreeSet::new();
     let duplicates: Vec<u64> = waiting
@@ -294,8 +298,7 @@
 }
 
 impl PreparedJobBatch {
-    /// The transaction was applied: puts the jobs into the controller state, and reports
-    /// to all that wait.
+    /// Adds the committed jobs to the controller state and reports them as accepted.
     fn apply(self, context: &ControllerContext, revision: Revision, waiting: WaitingSubmissions) {
         let now = context.clock.now();
         let number = self.head.last;
@@ -310,16 +313,20 @@
             .report(waiting.into_keys(), || SubmissionOutcome::Accepted);
     }
 
-    /// The transaction was refused: jobs whose own keys exist already no longer wait.
+    /// Reports the jobs whose own keys made the transaction conflict as known.
     fn report_conflicts(
         &self,
         context: &ControllerContext,
-        failed: &[String],
+        failed_keys: &[String],
         waiting: &mut WaitingSubmissions,
     ) {
-        log::debug!("lost job batch {}: {failed:?} changed", self.head.last);
+        log::debug!(
+            "failed to write job batch {}: keys {failed_keys:?} changed",
+            self.head.last
+        );
         let exists = |id: &JobId| {
-            failed.contains(&final_key(id)) || failed.contains(&job_key(id.shard(self.shards), id))
+            failed_keys.contains(&final_key(id))
+                || failed_keys.contains(&job_key(id.shard(self.shards), id))
         };
         let known: Vec<u64> = waiting
             .iter()
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -1,9 +1,9 @@
-//! Users' requests: any controller takes them, whichever leads the shard. Each is decoded,
-//! decided, committed and answered.
+//! Handlers of users' requests. Any controller handles them, also for shards that others
+//! lead.
 
 use super::cancellations::{CancelOutcome, commit_cancellation};
 use super::job_status::{StoredJob, lookup, respond};
-use super::submissions::{accept_alone, accept_batched};
+use super::submissions::{accept_batched, accept_unbatched};
 use crate::clock::time_of_day_ms;
 use crate::state::ControllerContext;
 use crate::state::queues::SubmissionOutcome;
@@ -16,22 +16,22 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Attempts to cancel a job while its leader records done tasks.
+/// Most attempts to cancel a job; they conflict with its leader's records of done tasks.
 const CANCEL_ATTEMPTS: u32 = 4;
-/// Shortest time after which a refused request is to be repeated, in seconds.
+/// Lower bound of `Retry-After` for requests refused for lack of tokens, in seconds.
 const MIN_RETRY_S: f64 = 1.0;
-/// Longest time after which a refused request is to be repeated, in seconds.
+/// Upper bound of `Retry-After` for requests refused for lack of tokens, in seconds.
 const MAX_RETRY_S: f64 = 30.0;
-/// When to come back if other submissions wait already.
-const QUEUE_RETRY: Duration = Duration::from_secs(1);
+/// Delay after which a user retries if other submissions are already queued.
+const QUEUE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What follows from a submission before anything is committed.
+/// Decision about a submission before anything is committed.
 enum SubmissionDecision {
-    /// It is to be accepted; this shard keeps the job's record.
+    /// Accept the job and store its record under this shard.
     Accept(JobSpec, ShardId),
-    /// It can never run, for this reason: refused, unless it was accepted once.
+    /// The job can never run, for this reason: refuse it unless it was accepted before.
     NeverRuns(JobId, &'static str),
-    /// The response is known already.
+    /// Send this response without a commit.
     Respond(Response),
 }
 
@@ -68,7 +68,7 @@
     let Some(id) = JobId::parse(id) else {
         return Response::status(404);
     };
-    let Some(shards) = shard_count(context) else {
+    let Some(shard_count) = shard_count(context) else {
         return Response::later(503, 1);
     };
     for _ in 0..CANCEL_ATTEMPTS {
@@ -77,18 +77,19 @@
             Ok(stored) => return respond(context, &id, &stored),
             Err(e) => return retry_later(&e),
         }
-        // Leaders hold its launches back beside the transaction.
+        // Leaders are notified directly to hold launches of the job's tasks, since the watch
+        // delivers the transaction later.
         context.hold_launches(std::slice::from_ref(&id));
         context.cancelling.post(id.clone());
-        match commit_cancellation(context, id.shard(shards), &id) {
-            Ok(CancelOutcome::Cancelled(state)) => {
-                log::debug!("cancelled {id}");
-                context.finals.lock().put(&id, state.clone());
-                return respond(context, &id, &StoredJob::Final(state));
+        match commit_cancellation(context, id.shard(shard_count), &id) {
+            Ok(CancelOutcome::Cancelled(final_state)) => {
+                log::debug!("cancelled job {id}");
+                context.finals.lock().put(&id, final_state.clone());
+                return respond(context, &id, &StoredJob::Final(final_state));
             }
-            Ok(CancelOutcome::Changed) => {}
+            Ok(CancelOutcome::Conflict) => {}
             Err(e) => {
-                log::debug!("failed to cancel {id}: {e}");
+                log::debug!("failed to cancel job {id}: {e}");
                 return retry_later(&e);
             }
         }
@@ -100,11 +101,12 @@
     context.controller.lock().cached.shard_count()
 }
 
-/// What cannot be done now is answered at once, with when to come back.
+/// Builds the response to a request that the store cannot serve now, with the delay after
+/// which the user retries.
 fn retry_later(error: &StoreError) -> Response {
     match error {
-        StoreError::Budget(wait) => {
-            let seconds = wait.as_secs_f64().ceil();
+        StoreError::Budget(retry_after) => {
+            let seconds = retry_after.as_secs_f64().ceil();
             Response::later(429, seconds.clamp(MIN_RETRY_S, MAX_RETRY_S) as u32)
         }
         _ => Response::later(503, 1),
@@ -113,11 +115,11 @@
 
 fn decode_submission(body: &[u8]) -> Result<JobSpec, Response> {
     let spec: JobSpec = cbor::decode(body).map_err(|e| {
-        log::debug!("refused a malformed submission: {e}");
+        log::debug!("refused a submission that cannot be decoded: {e}");
         Response::status(400)
     })?;
     if let Some(field) = spec.invalid_field() {
-        log::debug!("refused {}: invalid {field}", spec.id);
+        log::debug!("refused job {}: field {field} is invalid", spec.id);
         return Err(Response::status(400));
     }
     Ok(spec)
@@ -125,26 +127,27 @@
 
 fn decide_submission(context: &ControllerContext, spec: JobSpec) -> SubmissionDecision {
     let config = Arc::clone(&context.controller.lock().config);
-    let Some(shards) = shard_count(context).filter(|_| !config.flavors.is_empty()) else {
+    let Some(shard_count) = shard_count(context).filter(|_| !config.flavors.is_empty()) else {
         return SubmissionDecision::Respond(Response::later(503, 1));
     };
     if let Some(reason) = config.never_runs(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
     }
-    let ended = context.finals.lock().get(&spec.id);
-    if let Some(state) = ended {
-        let stored = StoredJob::Final(state);
+    let final_state = context.finals.lock().get(&spec.id);
+    if let Some(final_state) = final_state {
+        let stored = StoredJob::Final(final_state);
         return SubmissionDecision::Respond(respond(context, &spec.id, &stored));
     }
-    let shard = spec.id.shard(shards);
+    let shard = spec.id.shard(shard_count);
     SubmissionDecision::Accept(spec, shard)
 }
 
-/// A job that was accepted once is never refused later.
+/// Refuses a job that can never run. A job that was accepted before, for instance under other
+/// settings, is never refused later.
 fn refuse_unless_known(context: &ControllerContext, id: &JobId, reason: &str) -> Response {
     match lookup(context, id) {
         Ok(StoredJob::Unknown) => {
-            log::info!("refused {id}: {reason}");
+            log::info!("refused job {id}: {reason}");
             Response::status(422)
         }
         Ok(stored) => respond(context, id, &stored),
@@ -152,7 +155,7 @@
     }
 }
 
-/// Accepts the job by itself, or with others if there are no tokens for that.
+/// Commits the job in a record of its own, or in a job batch if there is no token for that.
 fn commit_submission(
     context: &ControllerContext,
     spec: JobSpec,
@@ -163,22 +166,23 @@
         .controller
         .lock()
         .new_job(spec, time_of_day_ms(), now);
-    match commit_alone(context, shard, &record) {
+    match commit_unbatched(context, shard, &record) {
         SubmissionOutcome::Refused(e @ StoreError::Budget(_)) => accept_batched(context, record, e),
         outcome => outcome,
     }
 }
 
-/// Accepts one job by itself, if there is a token and nobody else waits for one.
-fn commit_alone(
+/// Commits one job in a record of its own, if there is a write token and no other submission
+/// waits for one.
+fn commit_unbatched(
     context: &ControllerContext,
     shard: ShardId,
     record: &JobRecord,
 ) -> SubmissionOutcome {
     if !context.submissions.is_empty() {
-        return SubmissionOutcome::Refused(StoreError::Budget(QUEUE_RETRY));
+        return SubmissionOutcome::Refused(StoreError::Budget(QUEUE_RETRY_AFTER));
     }
-    // At a burst, work of lower rank leaves the tokens to what comes before it.
+    // During a burst, jobs of lower rank leave the tokens to those of higher rank.
     let priority = match record.spec.rank {
         Rank::Production | Rank::Urgent => RequestPriority::User,
         Rank::Standard | Rank::Idle => RequestPriority::Later,
@@ -191,7 +195,7 @@
         controller.cached.job_batch_head.revision
     };
     match context.store.take(priority, 1) {
-        Ok(()) => accept_alone(context, shard, record, head),
+        Ok(()) => accept_unbatched(context, shard, record, head),
         Err(e) => SubmissionOutcome::Refused(e),
     }
 }
@@ -216,9 +220,9 @@
             Ok(stored) => respond(context, &id, &stored),
             Err(e) => retry_later(&e),
         },
-        // It may have been accepted; the user's retry will find the outcome.
+        // The job may have been accepted; the user's retry finds the outcome.
         SubmissionOutcome::Refused(e) => {
-            log::debug!("refused {id}: {e}");
+            log::debug!("refused job {id}: {e}");
             if matches!(e, StoreError::Budget(_)) {
                 let now = context.clock.now();
                 context.refused.store(now.0, Ordering::Relaxed);
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -1,5 +1,5 @@
-//! Workers' heartbeats: each is decoded, routed to the leader of its machine's shard,
-//! applied and answered with commands.
+//! Handler of workers' heartbeats. A heartbeat is routed to the leader of its machine's shard,
+//! applied to the shard's state, and answered with commands.
 
 use crate::shard::registration::register;
 use crate::state::queues::RegistrationOutcome;
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A cached state older than this redirects no worker.
+/// Workers are redirected only while the cached state is younger than this.
 const MAX_REDIRECT_CACHE_AGE: Duration = Duration::from_secs(4);
-/// Workers are not redirected to a controller not heard of for longer.
-const FRESH_PEER: Duration = Duration::from_millis(2500);
+/// Workers are redirected only to controllers whose last digest is younger than this.
+const MAX_PEER_DIGEST_AGE: Duration = Duration::from_millis(2500);
 
-/// Where a heartbeat belongs.
+/// Destination of a heartbeat.
 enum Route {
-    /// To a shard led here.
-    Here(ShardId),
-    /// To another controller.
+    /// A shard that this controller leads.
+    Local(ShardId),
+    /// Another controller.
     Redirect(MemberId),
-    /// To a shard led here, once its machine is registered.
+    /// A shard that this controller leads, once the machine is registered with it.
     Register(ShardId),
-    /// Nobody can take it now.
-    Nobody,
+    /// No known leader can handle the heartbeat now.
+    Unavailable,
 }
 
 /// `POST /v1/report`
@@ -33,23 +33,23 @@
     let heartbeat: Heartbeat = match cbor::decode(body) {
         Ok(heartbeat) => heartbeat,
         Err(e) => {
-            log::debug!("refused a malformed heartbeat: {e}");
+            log::debug!("refused a heartbeat that cannot be decoded: {e}");
             return Response::status(400);
         }
     };
-    // It is routed again after its machine was registered.
+    // The second iteration routes the heartbeat again after the machine was registered.
     for _ in 0..2 {
         let route = {
             let controller = context.controller.lock();
-            Router::new(context, &controller).route(&heartbeat)
+            HeartbeatRouter::new(context, &controller).route(&heartbeat)
         };
         match route {
-            Route::Here(shard) => return apply(context, shard, &heartbeat),
+            Route::Local(shard) => return apply(context, shard, &heartbeat),
             Route::Redirect(member) => {
                 let leader = Some(member);
                 return Response::cbor(421, &Redirect { leader });
             }
-            Route::Nobody => return Response::later(503, 1),
+            Route::Unavailable => return Response::later(503, 1),
             Route::Register(shard) => match register(context, &heartbeat, shard) {
                 RegistrationOutcome::Registered => {}
                 RegistrationOutcome::NotRegistered => return Response::later(503, 1),
@@ -59,14 +59,14 @@
     Response::later(503, 1)
 }
 
-/// Decides where heartbeats belong, by what this controller knows now.
-struct Router<'a> {
+/// Routes heartbeats by the current controller state.
+struct HeartbeatRouter<'a> {
     context: &'a ControllerContext,
     controller: &'a ControllerState,
     now: MonotonicTime,
 }
 
-impl<'a> Router<'a> {
+impl<'a> HeartbeatRouter<'a> {
     fn new(context: &'a ControllerContext, controller: &'a ControllerState) -> Self {
         Self {
             context,
@@ -77,31 +77,32 @@
 
     fn route(&self, heartbeat: &Heartbeat) -> Route {
         if !self.controller.is_cached {
-            return Route::Nobody;
+            return Route::Unavailable;
         }
         let cached = &self.controller.cached;
         match cached.machines.get(&heartbeat.machine) {
             Some((record, _)) => self.route_registered(record.shard),
-            None if cached.unreadable_machines.contains(&heartbeat.machine) => Route::Nobody,
+            None if cached.unreadable_machines.contains(&heartbeat.machine) => Route::Unavailable,
             None => self.route_unregistered(heartbeat),
         }
     }
 
     fn route_registered(&self, shard: ShardId) -> Route {
         if self.led(shard).is_some() && self.controller.may_answer(self.now) {
-            return Route::Here(shard);
+            return Route::Local(shard);
         }
         match self.controller.cached.shards.get(&shard) {
             Some(holder) if holder.value.member != self.context.controller_id => {
                 self.redirect(&holder.value.member)
             }
-            _ => Route::Nobody,
+            _ => Route::Unavailable,
         }
     }
 
-    /// An unregistered machine goes to the shard that its name falls on, so that many at
-    /// once do not all wait for one controller's tokens; or to whichever leader it
-    /// reaches. No leader launches before its record is written, so it holds no task.
+    /// Routes an unregistered machine to the shard selected by its zone and id, so that many
+    /// new machines do not all wait for one controller's write tokens, or else to any leader
+    /// that can be reached. Any shard is safe: no leader launches tasks on a machine before its
+    /// record is written.
     fn route_unregistered(&self, heartbeat: &Heartbeat) -> Route {
         let controller = self.controller;
         let shard = controller
@@ -113,28 +114,29 @@
         {
             return Route::Redirect(member);
         }
-        if let Some(shard) = self.shard_to_join(shard) {
+        if let Some(shard) = self.registration_shard(shard) {
             return Route::Register(shard);
         }
         let mut holders = controller.cached.shards.values();
         match holders.find(|h| h.value.member != self.context.controller_id) {
             Some(holder) => self.redirect(&holder.value.member),
-            None => Route::Nobody,
+            None => Route::Unavailable,
         }
     }
 
-    /// The preferred shard if it is led here, else the one with the fewest machines.
-    fn shard_to_join(&self, preferred: ShardId) -> Option<ShardId> {
-        let led = |shard| {
+    /// Selects the preferred shard if this controller leads it, or else the led shard with the
+    /// fewest machines.
+    fn registration_shard(&self, preferred: ShardId) -> Option<ShardId> {
+        let writable = |shard| {
             self.led(shard)
                 .filter(|_| self.controller.may_act(self.now))
         };
-        if led(preferred).is_some() {
+        if writable(preferred).is_some() {
             return Some(preferred);
         }
         let shards = self.controller.led_shards.keys();
         shards
-            .filter_map(|shard| Some((*shard, led(*shard)?)))
+            .filter_map(|shard| Some((*shard, writable(*shard)?)))
             .min_by_key(|(_, led)| led.state.machines.len())
             .map(|(shard, _)| shard)
     }
@@ -144,16 +146,18 @@
         led.filter(|led| led.loaded && !led.leaving)
     }
 
-    /// A controller that is cut off knows old leaders only, and a leader that its peers
-    /// have not heard of lately may be gone: a worker redirected there would wait out
-    /// four seconds of its lease for nothing. Without a redirect it tries the next
-    /// controller a second later.
+    /// Redirects to a controller if it is known to be alive. A controller that is cut off from
+    /// the store knows outdated leaders only, and a leader whose digests have stopped may be
+    /// dead: a worker that is redirected to it loses four seconds of its lease to a time-out.
+    /// A worker without a redirect tries the next controller one second later.
     fn redirect(&self, member: &MemberId) -> Route {
-        let heard = self.controller.is_heard(member, self.now, FRESH_PEER);
-        if heard && self.now.since(self.controller.caught_up) < MAX_REDIRECT_CACHE_AGE {
+        let is_alive = self
+            .controller
+            .is_heard(member, self.now, MAX_PEER_DIGEST_AGE);
+        if is_alive && self.now.since(self.controller.caught_up) < MAX_REDIRECT_CACHE_AGE {
             Route::Redirect(member.clone())
         } else {
-            Route::Nobody
+            Route::Unavailable
         }
     }
 }
@@ -163,30 +167,35 @@
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let config = Arc::clone(&controller.config);
-    let launch = controller.may_launch(now);
+    let may_launch = controller.may_launch(now);
     let Some(led) = controller.led_shards.get_mut(&shard) else {
         return Response::later(503, 1);
     };
     match led.state.heartbeat(heartbeat, false, now, &config) {
         HeartbeatOutcome::Fresh => {}
-        // Its worker obeys another leader and is to look for it.
+        // The worker obeys a newer leader and has to find it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
                 controller.note_fencing_token(&heartbeat.machine, heartbeat.fencing_token, now);
             }
             return Response::later(503, 1);
         }
-        // Its worker has given this heartbeat up and drops the response.
+        // The worker no longer waits for the response to this heartbeat.
         HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => return Response::later(503, 1),
     }
-    let commands = led.state.answer(&heartbeat.machine, launch, now, &config);
+    let commands = led
+        .state
+        .answer(&heartbeat.machine, may_launch, now, &config);
     let Some(machine) = led.state.machines.get(&heartbeat.machine) else {
         return Response::later(503, 1);
     };
     let fencing_token = machine.fencing_token(led.state.fencing_token);
     drop(controller);
     if !commands.is_empty() {
-        log::debug!("commanded {}: {commands:?}", heartbeat.machine);
+        log::debug!(
+            "sent commands to machine {}: {commands:?}",
+            heartbeat.machine
+        );
     }
     let response = HeartbeatResponse {
         fencing_token,
