--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -216,7 +216,7 @@
 /// transaction that compares an outdated head is refused and still counts against the store's
 /// write rate, which a read does not.
 fn refresh_job_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::changes(context, RequestPriority::JobBatch, Duration::ZERO) {
+    if let Err(e) = watch::read_changes(context, RequestPriority::JobBatch, Duration::ZERO) {
         log::debug!("failed to read the job batches: {e}");
     }
 }
--- a/crates/pulleywood-controller/src/bounded_parallelism.rs
+++ b/crates/pulleywood-controller/src/bounded_parallelism.rs
@@ -10,7 +10,7 @@
 /// once. After a failover a fencing token is announced to hundreds of machines: all
 /// together they would take every socket and the processor from lease renewals and
 /// heartbeats.
-pub fn few_at_a_time<T: Send + 'static>(
+pub fn spawn_bounded<T: Send + 'static>(
     name: &str,
     at_once: usize,
     items: Vec<T>,
--- a/crates/pulleywood-controller/src/bounded_parallelism/tests.rs
+++ b/crates/pulleywood-controller/src/bounded_parallelism/tests.rs
@@ -11,7 +11,7 @@
         let state = Arc::new((Mutex::new((0, 0, 0)), Condvar::new()));
         let own = Arc::clone(&state);
         let all = at_once.min(items);
-        few_at_a_time("test", at_once, (0..items).collect(), move |_: usize| {
+        spawn_bounded("test", at_once, (0..items).collect(), move |_: usize| {
             let mut counts = own.0.lock();
             let (now, peak, _) = &mut *counts;
             *now += 1;
--- a/crates/pulleywood-controller/src/coordinator/flavors.rs
+++ b/crates/pulleywood-controller/src/coordinator/flavors.rs
@@ -1,4 +1,4 @@
-//! Machine types and their prices, as the cloud offers them.
+//! Reads the machine types that the cloud offers, and their prices.
 
 use crate::state::ControllerContext;
 use pulleywood_protocol::MonotonicTime;
@@ -7,12 +7,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Machine types and prices are read again this often.
-const REFRESH_EVERY: Duration = Duration::from_secs(120);
-/// Pause after a failed first read.
-const RETRY_PAUSE: Duration = Duration::from_millis(700);
+/// Time between two reads of the machine types.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(120);
+/// Delay after a failed first read of the machine types.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Reads the machine types for the first time: nothing can be decided before.
+/// Reads the machine types for the first time, and repeats the read until it succeeds: no
+/// scheduling decision is possible without them.
 pub fn wait_for_flavors(context: &ControllerContext) {
     loop {
         match context.cloud.flavors() {
@@ -22,17 +23,18 @@
                 context.work_available.notify_all();
                 return;
             }
-            Ok(_) => log::error!("the cloud offers no machine type"),
+            Ok(_) => log::error!("read an empty list of machine types from the cloud"),
             Err(e) => log::debug!("failed to read the machine types: {e}"),
         }
-        std::thread::sleep(RETRY_PAUSE);
+        std::thread::sleep(RETRY_DELAY);
     }
 }
 
-/// Reads the machine types again, if it is time. `last_read` is when they were read last.
+/// Reads the machine types again if the last read, at `last_read`, is longer ago than
+/// [`REFRESH_INTERVAL`]. After a failed read the previous ones stay in use.
 pub fn refresh_flavors(context: &ControllerContext, last_read: &mut MonotonicTime) {
     let now = context.clock.now();
-    if now.since(*last_read) <= REFRESH_EVERY {
+    if now.since(*last_read) <= REFRESH_INTERVAL {
         return;
     }
     *last_read = now;
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -1,4 +1,4 @@
-//! What the coordinator knows of the fleet, and its decision about it.
+//! The coordinator's state about the fleet of rented machines, and its decisions.
 
 use super::lease::CoordinatorLease;
 use crate::state::{ControllerContext, ControllerState};
@@ -12,85 +12,90 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Shortest time between two reads of the cloud's list.
-const LIST_EVERY: Duration = Duration::from_secs(3);
-/// A peer's word that it refuses submissions is believed for this long.
-const FRESH_DIGEST: Duration = Duration::from_secs(4);
+/// Minimum time between two reads of the cloud's machine list.
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(3);
+/// A digest with the news that a peer refuses submissions counts up to this age.
+const MAX_DIGEST_AGE: Duration = Duration::from_secs(4);
 
-/// What the coordinator knows of the fleet beside the stored records.
+/// The coordinator's state about the fleet, in addition to the stored records.
 pub struct Fleet {
-    /// The coordinator lease that it acts under.
+    /// The coordinator lease under which this state was built.
     pub lease: CoordinatorLease,
-    /// Requests without a definite outcome yet.
-    pub pending: Vec<RentalRequest>,
-    /// What was rented, refused and moved lately.
+    /// Rental requests whose outcome is unknown; they are repeated under the same name.
+    pub pending_requests: Vec<RentalRequest>,
+    /// Machines that were recently rented, refused or moved.
     pub history: FleetHistory,
-    /// The cloud's list as read last.
-    pub list: Vec<Rental>,
-    /// Machines released lately: lists still show them for a while.
-    pub released: HashMap<MachineId, MonotonicTime>,
-    /// Rental requests named under the lease's fencing token.
-    rental_requests: u64,
-    /// The next list, as far as it was read.
-    listing: Listing,
-    listed_at: Option<MonotonicTime>,
+    /// The rentals in the cloud's list as of the last complete read, without released ones.
+    pub rentals: Vec<Rental>,
+    /// Machines that were recently released, and when; the cloud's list still contains them
+    /// until its lag has passed.
+    pub recently_released: HashMap<MachineId, MonotonicTime>,
+    /// Number of rental requests named under the lease's fencing token.
+    request_count: u64,
+    /// The pages of the next list that have been read.
+    partial_list: Listing,
+    list_read_at: Option<MonotonicTime>,
 }
 
 impl Fleet {
-    /// Begins under a lease. A controller that could not act for a while may find itself
-    /// holding the lease under the same fencing token: its request names go on from
-    /// where they were, since a name that is used again rents nothing.
-    pub fn new(former: Option<Fleet>, lease: CoordinatorLease) -> Fleet {
-        let former = former.filter(|f| f.lease.fencing_token == lease.fencing_token);
-        let (rental_requests, pending) =
-            former.map_or((0, Vec::new()), |f| (f.rental_requests, f.pending));
+    /// Creates the state for an acquired lease. A controller that could not act for a while
+    /// may still hold the lease under the same fencing token. Request names then continue from
+    /// the previous state, since the cloud rents nothing for a name that is used again.
+    pub fn new(previous: Option<Fleet>, lease: CoordinatorLease) -> Fleet {
+        let previous = previous.filter(|f| f.lease.fencing_token == lease.fencing_token);
+        let (request_count, pending_requests) =
+            previous.map_or((0, Vec::new()), |f| (f.request_count, f.pending_requests));
         Fleet {
             lease,
-            pending,
+            pending_requests,
             history: FleetHistory::default(),
-            list: Vec::new(),
-            released: HashMap::new(),
-            rental_requests,
-            listing: Listing::default(),
-            listed_at: None,
+            rentals: Vec::new(),
+            recently_released: HashMap::new(),
+            request_count,
+            partial_list: Listing::default(),
+            list_read_at: None,
         }
     }
 
-    /// A name that no rental request ever had.
+    /// Returns a name that no rental request has had before.
     pub fn next_request_name(&mut self) -> String {
-        self.rental_requests += 1;
-        format!("h-{}-{}", self.lease.fencing_token, self.rental_requests)
+        self.request_count += 1;
+        format!("h-{}-{}", self.lease.fencing_token, self.request_count)
     }
 
-    /// Reads the cloud's list if it is time, leaving out what was released.
+    /// Reads the next part of the cloud's machine list if the last complete read is old
+    /// enough, and leaves out the machines that were recently released.
     pub fn refresh_list(&mut self, context: &ControllerContext, now: MonotonicTime) {
         if self
-            .listed_at
-            .is_some_and(|at| now.since(at) < list_every(context))
+            .list_read_at
+            .is_some_and(|at| now.since(at) < list_interval(context))
         {
             return;
         }
-        match context.cloud.rentals(&mut self.listing) {
-            Ok(Some(list)) => {
-                self.list = list;
-                self.listed_at = Some(now);
+        match context.cloud.rentals(&mut self.partial_list) {
+            Ok(Some(rentals)) => {
+                self.rentals = rentals;
+                self.list_read_at = Some(now);
             }
-            Ok(None) => log::debug!("read a part of the machine list"),
+            Ok(None) => log::debug!("read one page of the machine list"),
             Err(e) => log::debug!("failed to read the machine list: {e}"),
         }
-        let keep = list_lag(context) * 3 + Duration::from_secs(60);
-        self.released.retain(|_, at| now.since(*at) < keep);
-        let released = &self.released;
-        self.list.retain(|r| !released.contains_key(&r.machine));
+        let retention = list_lag(context) * 3 + Duration::from_secs(60);
+        self.recently_released
+            .retain(|_, at| now.since(*at) < retention);
+        let released = &self.recently_released;
+        self.rentals.retain(|r| !released.contains_key(&r.machine));
     }
 
-    /// What is to be done, decided without the lock.
+    /// Decides the next actions. The controller state is locked only to copy its inputs.
     pub fn decide(&mut self, context: &ControllerContext, now: MonotonicTime) -> Vec<Action> {
-        let oldest = list_every(context) * 2;
-        let fresh = self.listed_at.is_some_and(|at| now.since(at) < oldest);
+        let max_list_age = list_interval(context) * 2;
+        let list_is_fresh = self
+            .list_read_at
+            .is_some_and(|at| now.since(at) < max_list_age);
         let mut controller = context.controller.lock();
-        // While any shard has no leader or an unknown one, its needs are not known
-        // either: nothing is judged by their absence.
+        // The needs of a shard without a leader, or with an unknown one, are unknown: their
+        // absence is not taken as a lack of demand.
         let shards = controller.all_shards(now);
         let config = Arc::clone(&controller.config);
         let records: BTreeMap<MachineId, MachineRecord> = controller
@@ -103,9 +108,9 @@
             now,
             records: &records,
             shards: &shards,
-            list: fresh.then_some(&self.list[..]),
-            // Users wait to submit: what lies idle is about to be needed.
-            hold: context.refusing(now) || a_peer_refuses(&controller, now),
+            list: list_is_fresh.then_some(&self.rentals[..]),
+            // Refused users will submit again, so idle machines will soon be needed.
+            hold: context.refusing(now) || any_peer_refuses(&controller, now),
         };
         drop(controller);
         log::debug!("{}", fleet::summary(&config, &snapshot));
@@ -117,13 +122,13 @@
     secs(context.settings.cluster.cloud.list_lag_s)
 }
 
-fn list_every(context: &ControllerContext) -> Duration {
-    list_lag(context).max(LIST_EVERY)
+fn list_interval(context: &ControllerContext) -> Duration {
+    list_lag(context).max(MIN_LIST_INTERVAL)
 }
 
-fn a_peer_refuses(controller: &ControllerState, now: MonotonicTime) -> bool {
+fn any_peer_refuses(controller: &ControllerState, now: MonotonicTime) -> bool {
     let mut digests = controller.digests.values();
-    digests.any(|d| d.digest.refusing && d.is_fresh(now, FRESH_DIGEST))
+    digests.any(|d| d.digest.refusing && d.is_fresh(now, MAX_DIGEST_AGE))
 }
 
 #[cfg(test)]
--- a/crates/pulleywood-controller/src/coordinator/lease.rs
+++ b/crates/pulleywood-controller/src/coordinator/lease.rs
@@ -1,6 +1,7 @@
-//! The coordinator lease. Its fencing token makes the names of rental requests unique.
+//! Acquires, keeps and releases the coordinator lease. Its fencing token makes the names of
+//! rental requests unique.
 
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::{ControllerContext, Versioned};
 use pulleywood_protocol::record::{COORDINATOR_LEASE, FencingTokenCounter, LeaseHolder};
 use pulleywood_protocol::store::Transaction;
@@ -11,38 +12,38 @@
 /// The coordinator lease as held by this process.
 #[derive(Debug, Clone, Copy)]
 pub struct CoordinatorLease {
-    /// Fencing token that it was acquired with.
+    /// Fencing token under which it was acquired.
     pub fencing_token: FencingToken,
-    /// Revision of its key.
+    /// Store revision of its key; transactions under the lease compare it.
     pub revision: Revision,
 }
 
 /// Whether this process may act as the coordinator.
 #[derive(Debug, Clone, Copy)]
 pub enum LeaseStatus {
-    /// It may.
+    /// This process holds the lease and may act.
     Held(CoordinatorLease),
-    /// Another does, or nobody.
+    /// Another process holds the lease, or none does.
     NotHeld,
 }
 
-/// What the decision rests on.
+/// Inputs of the decision to keep, acquire or release the lease.
 struct Snapshot {
     lease_id: Option<LeaseId>,
     holder: Option<Versioned<LeaseHolder>>,
     leads_no_shard: bool,
 }
 
-/// An attempt to acquire the lease.
+/// A transaction that acquires the lease, ready to be committed.
 struct PreparedAcquire {
     holder: LeaseHolder,
     transaction: Transaction,
 }
 
-/// Keeps the coordinator lease, or acquires it if nobody holds it. A controller that
-/// leads no shard releases it: no worker may reach it, perhaps for minutes, and nobody
-/// would act meanwhile.
-pub fn hold(context: &ControllerContext) -> Result<LeaseStatus, StoreError> {
+/// Keeps the coordinator lease, or acquires it if no process holds it. A controller that leads
+/// no shard releases it: workers may be unable to reach such a controller for minutes, during
+/// which no controller would act as the coordinator.
+pub fn acquire_or_keep(context: &ControllerContext) -> Result<LeaseStatus, StoreError> {
     let Some(snapshot) = snapshot(context) else {
         return Ok(LeaseStatus::NotHeld);
     };
@@ -66,7 +67,7 @@
     }
 }
 
-/// None while this controller may not act.
+/// Returns `None` while this controller may not act.
 fn snapshot(context: &ControllerContext) -> Option<Snapshot> {
     let now = context.clock.now();
     let controller = context.controller.lock();
@@ -92,7 +93,7 @@
 }
 
 fn acquire(context: &ControllerContext, lease_id: LeaseId) -> Result<LeaseStatus, StoreError> {
-    let counter = newest_fencing_token(context)?;
+    let counter = read_fencing_token_counter(context)?;
     let prepared = prepare(context, lease_id, counter);
     let outcome = context
         .store
--- a/crates/pulleywood-controller/src/coordinator/mod.rs
+++ b/crates/pulleywood-controller/src/coordinator/mod.rs
@@ -1,5 +1,6 @@
-//! The coordinator: one controller, under a lease of its own, balances quotas between
-//! shards and decides about the fleet. It asks shards' leaders for what only they may do.
+//! The coordinator: the controller that holds the coordinator lease balances quotas between
+//! shards and scales the fleet. It asks shards' leaders to carry out the actions that only
+//! they may take.
 
 mod flavors;
 mod fleet;
@@ -15,75 +16,76 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time between two rounds, varied by a tenth.
-const ROUND: Duration = Duration::from_millis(1000);
+/// Time between two rounds, jittered by 10 %.
+const ROUND_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Runs for the life of the process; acts while this controller holds the coordinator
-/// lease.
+/// Runs the coordinator's rounds while this controller holds the coordinator lease. Runs for
+/// the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     flavors::wait_for_flavors(context);
     let mut flavors_read = context.clock.now();
     let mut coordinator = Coordinator::default();
     loop {
-        std::thread::sleep(ROUND.mul_f64(0.9 + 0.2 * fastrand::f64()));
+        std::thread::sleep(ROUND_INTERVAL.mul_f64(0.9 + 0.2 * fastrand::f64()));
         flavors::refresh_flavors(context, &mut flavors_read);
-        match lease::hold(context) {
+        match lease::acquire_or_keep(context) {
             Ok(LeaseStatus::Held(lease)) => {
-                let fleet = coordinator.enter(context, lease);
+                let fleet = coordinator.fleet_under(context, lease);
                 quota::balance(context, fleet.lease);
                 fleet_round(context, fleet);
             }
-            Ok(LeaseStatus::NotHeld) => coordinator.acting = false,
-            Err(e) => log::debug!("failed to hold the coordinator lease: {e}"),
+            Ok(LeaseStatus::NotHeld) => coordinator.held_last_round = false,
+            Err(e) => log::debug!("failed to acquire or release the coordinator lease: {e}"),
         }
     }
 }
 
-/// What the coordinator thread remembers between rounds.
+/// State of the coordinator thread between rounds.
 #[derive(Default)]
 struct Coordinator {
-    /// The fleet as of the last lease, also while it is not held.
+    /// State of the fleet under the last held lease; it is kept while the lease is not held.
     fleet: Option<Fleet>,
-    /// The lease was held in the last round that could tell.
-    acting: bool,
+    /// Whether the lease was held in the last round in which the store could be asked.
+    held_last_round: bool,
 }
 
 impl Coordinator {
-    /// The fleet under this lease, begun anew if the lease was acquired since the last
-    /// round.
-    fn enter(&mut self, context: &ControllerContext, lease: CoordinatorLease) -> &mut Fleet {
-        let former = self.fleet.take();
-        let held = |fleet: &Fleet| fleet.lease.fencing_token == lease.fencing_token;
-        let fleet = match former {
-            Some(fleet) if self.acting && held(&fleet) => fleet,
-            former => {
+    /// Returns the state of the fleet under this lease. It is created anew if the lease was
+    /// acquired since the last round.
+    fn fleet_under(&mut self, context: &ControllerContext, lease: CoordinatorLease) -> &mut Fleet {
+        let previous = self.fleet.take();
+        let same_lease = |fleet: &Fleet| fleet.lease.fencing_token == lease.fencing_token;
+        let fleet = match previous {
+            Some(fleet) if self.held_last_round && same_lease(&fleet) => fleet,
+            previous => {
                 log::info!(
                     "acquired the coordinator lease with fencing token {}",
                     lease.fencing_token
                 );
                 context.cloud.become_coordinator();
-                self.acting = true;
-                Fleet::new(former, lease)
+                self.held_last_round = true;
+                Fleet::new(previous, lease)
             }
         };
         self.fleet.insert(fleet)
     }
 }
 
-/// One round: reads the cloud's list, decides, and carries out what was decided.
+/// Runs one round: reads the cloud's machine list, decides about the fleet, and carries out
+/// the actions.
 fn fleet_round(context: &Arc<ControllerContext>, fleet: &mut Fleet) {
     let now = context.clock.now();
     rentals::repeat_pending(context, fleet);
     fleet.refresh_list(context, now);
-    // What the cloud does takes longest to show, so it is asked first.
-    let (for_cloud, for_leaders): (Vec<Action>, Vec<Action>) = fleet
+    // The cloud's actions take longest to have an effect, so they are requested first.
+    let (cloud_actions, leader_actions): (Vec<Action>, Vec<Action>) = fleet
         .decide(context, now)
         .into_iter()
         .partition(|a| matches!(a, Action::ScaleOut(..) | Action::ReleaseDead(..)));
-    for action in for_cloud {
+    for action in cloud_actions {
         rentals::carry_out(context, fleet, action);
     }
-    for machine in requests::ask_leaders(context, for_leaders, now + ROUND) {
-        fleet.history.not_moved(&machine);
+    for unmoved in requests::ask_leaders(context, leader_actions, now + ROUND_INTERVAL) {
+        fleet.history.not_moved(&unmoved);
     }
 }
--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -1,5 +1,5 @@
-//! Balancing the teams' quotas between shards. One shard shrinks before another grows, so
-//! that the sum never exceeds what a team may use.
+//! Balances the teams' quotas between shards. One shard's quota shrinks before another's
+//! grows, so that the sum of a team's quotas never exceeds the team's limit.
 
 use super::lease::CoordinatorLease;
 use super::requests::ask_leader;
@@ -14,31 +14,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Quotas of all shards as stored.
+/// Stored quotas of all shards.
 type StoredQuotas = BTreeMap<ShardId, Versioned<QuotaRecord>>;
 
-/// A larger quota to be written.
+/// A larger quota that is ready to be committed.
 struct PreparedGrowth {
     shard: ShardId,
     record: QuotaRecord,
     transaction: Transaction,
 }
 
-/// Takes one step towards the shards' needs: asks a leader to shrink its quota, or grows
-/// a quota itself.
+/// Takes one step that adapts the quotas to the shards' needs: asks a leader to shrink its
+/// quota, or grows a quota.
 pub fn balance(context: &Arc<ControllerContext>, lease: CoordinatorLease) {
     let Some((step, stored)) = decide(context) else {
         return;
     };
     match step {
-        Step::Shrink(shard, to) => {
-            ask_leader(context, shard, PeerRequest::ShrinkQuota(shard, to));
+        Step::Shrink(shard, smaller_quota) => {
+            ask_leader(
+                context,
+                shard,
+                PeerRequest::ShrinkQuota(shard, smaller_quota),
+            );
+        }
+        Step::Grow(shard, record) => {
+            commit_growth(context, prepare_growth(lease, &stored, shard, record))
         }
-        Step::Grow(shard, record) => grow(context, prepare_growth(lease, &stored, shard, record)),
     }
 }
 
-/// The step that is due, and the stored quotas that it rests on.
+/// Decides the next step, and returns it with the stored quotas that it is based on. `None`
+/// if no step is needed or a quota is not yet known.
 fn decide(context: &ControllerContext) -> Option<(Step, StoredQuotas)> {
     let now = context.clock.now();
     let mut controller = context.controller.lock();
@@ -53,14 +60,14 @@
         .collect();
     let digests = controller.all_shards(now).into_iter();
     let needs = digests
-        .map(|(shard, digest)| (shard, needs(&digest)))
+        .map(|(shard, digest)| (shard, team_needs(&digest)))
         .collect();
     let step = quota::balance(&controller.config, &records, &needs)?;
     Some((step, stored))
 }
 
-/// What each team uses and wants in a shard.
-fn needs(digest: &ShardDigest) -> BTreeMap<String, Need> {
+/// Returns each team's use and demand in a shard.
+fn team_needs(digest: &ShardDigest) -> BTreeMap<String, Need> {
     let mut teams: BTreeMap<String, Need> = BTreeMap::new();
     for (team, used) in &digest.used {
         teams.entry(team.clone()).or_default().used = *used;
@@ -74,7 +81,8 @@
     teams
 }
 
-/// Compares every shard's record, so that the sum it rests on still holds.
+/// Prepares the transaction that grows a quota. It compares the revisions of all shards'
+/// quotas, so that it fails if their sum has changed.
 fn prepare_growth(
     lease: CoordinatorLease,
     stored: &StoredQuotas,
@@ -92,7 +100,7 @@
     }
 }
 
-fn grow(context: &ControllerContext, prepared: PreparedGrowth) {
+fn commit_growth(context: &ControllerContext, prepared: PreparedGrowth) {
     let PreparedGrowth {
         shard,
         record,
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -1,4 +1,4 @@
-//! Renting machines from the cloud and releasing them.
+//! Rents machines from the cloud and releases them.
 
 use super::fleet::Fleet;
 use crate::state::ControllerContext;
@@ -16,43 +16,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most machines that one request rents.
-const MAX_RENTAL: u32 = 50;
-/// Most machines that one request releases.
-const MAX_RELEASE: usize = 100;
-/// Attempts to delete the records of some machines while their leaders write what they
-/// learn of others in the same machine batches.
+/// Most machines in one rental request.
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Most machines in one release request.
+const MAX_MACHINES_PER_RELEASE: usize = 100;
+/// Most attempts to delete the records of machines; they conflict with the leaders' updates of
+/// other records in the same machine batches.
 const DELETE_ATTEMPTS: u32 = 3;
 
-/// Whether a rental request was filled.
+/// Outcome of a rental request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RentalOutcome {
-    /// Machines were rented; more may be had.
+    /// Machines were rented, and more may be available.
     Rented,
-    /// None, or it is not known.
+    /// No machine was rented, or the outcome is unknown.
     NotRented,
 }
 
-/// How an attempt to delete records ended.
+/// Outcome of an attempt to delete records.
 enum DeleteOutcome {
-    /// They are deleted, or cannot be now.
-    Ended,
-    /// The machine batches changed meanwhile and have been read again.
+    /// The records are deleted, or cannot be deleted now.
+    Finished,
+    /// The machine batches changed concurrently and have been read again.
     Retry,
 }
 
-/// Records of released machines, to be deleted in one transaction.
+/// A transaction that deletes the records of released machines, ready to be committed.
 struct PreparedDeletion {
     machine_batches: Vec<MachineBatchAfter>,
     transaction: Transaction,
 }
 
-/// Carries out what was decided about machines in the cloud.
+/// Carries out an action on rented machines.
 pub fn carry_out(context: &Arc<ControllerContext>, fleet: &mut Fleet, action: Action) {
     match action {
-        Action::ReleaseDead(machines, why) => {
-            for machines in machines.chunks(MAX_RELEASE) {
-                release(context, fleet, machines, why);
+        Action::ReleaseDead(machines, reason) => {
+            for machines in machines.chunks(MAX_MACHINES_PER_RELEASE) {
+                release(context, fleet, machines, reason);
             }
         }
         Action::ScaleOut(kind, count) => rent(context, fleet, &kind, count),
@@ -60,20 +60,21 @@
     }
 }
 
-/// Repeats requests whose outcome is unknown under the same name.
+/// Repeats rental requests whose outcome is unknown under their previous names, so that they
+/// rent nothing twice.
 pub fn repeat_pending(context: &ControllerContext, fleet: &mut Fleet) {
     let now = context.clock.now();
-    for request in std::mem::take(&mut fleet.pending) {
+    for request in std::mem::take(&mut fleet.pending_requests) {
         send(context, fleet, request, now);
     }
 }
 
 fn rent(context: &ControllerContext, fleet: &mut Fleet, kind: &Kind, count: u32) {
     let now = context.clock.now();
-    let mut left = count;
-    while left > 0 && fleet.history.open(kind, now) {
-        let how_many = left.min(MAX_RENTAL);
-        left -= how_many;
+    let mut remaining = count;
+    while remaining > 0 && fleet.history.open(kind, now) {
+        let how_many = remaining.min(MAX_MACHINES_PER_RENTAL);
+        remaining -= how_many;
         let request = RentalRequest {
             name: fleet.next_request_name(),
             flavor: kind.flavor.clone(),
@@ -104,12 +105,18 @@
             return RentalOutcome::Rented;
         }
         Err(CloudError::NoCapacity) => {
-            log::info!("found no capacity for {kind:?}");
+            log::info!(
+                "failed to rent {} machines: the cloud has no capacity for {kind:?}",
+                request.how_many
+            );
             fleet.history.refused(&kind, now);
         }
         Err(CloudError::Unknown(e)) => {
-            log::debug!("got no answer to rental request {}: {e}", request.name);
-            fleet.pending.push(request);
+            log::debug!(
+                "got no response to rental request {}, which will be repeated: {e}",
+                request.name
+            );
+            fleet.pending_requests.push(request);
         }
         Err(e) => log::debug!("failed to send rental request {}: {e}", request.name),
     }
@@ -124,7 +131,7 @@
     now: MonotonicTime,
 ) {
     log::info!(
-        "rented {} of {} {} in {} (spot: {})",
+        "rented {} of {} requested {} machines in zone {} (spot: {})",
         machines.len(),
         request.how_many,
         request.flavor,
@@ -139,38 +146,44 @@
     fleet.history.rented(machines, kind, now);
 }
 
-/// Releases machines. Only the cloud's answer proves them gone; only then are their
-/// records deleted, so that their tasks can be placed again.
-fn release(context: &Arc<ControllerContext>, fleet: &mut Fleet, machines: &[MachineId], why: &str) {
+/// Releases machines and deletes their records, so that their tasks can be placed again. The
+/// records are deleted only after the cloud's response, which proves that the machines no
+/// longer run.
+fn release(
+    context: &Arc<ControllerContext>,
+    fleet: &mut Fleet,
+    machines: &[MachineId],
+    reason: &str,
+) {
     if let Err(e) = context.cloud.release(machines) {
-        log::debug!("failed to release {machines:?}: {e}");
+        log::debug!("failed to release machines {machines:?}: {e}");
         return;
     }
-    log::info!("released {machines:?}: {why}");
+    log::info!("released machines {machines:?}: {reason}");
     let now = context.clock.now();
     for id in machines {
-        fleet.released.insert(id.clone(), now);
+        fleet.recently_released.insert(id.clone(), now);
     }
-    fleet.list.retain(|r| !machines.contains(&r.machine));
+    fleet.rentals.retain(|r| !machines.contains(&r.machine));
     for _ in 0..DELETE_ATTEMPTS {
         match delete_records(context, fleet.lease.revision, machines) {
-            DeleteOutcome::Ended => return,
+            DeleteOutcome::Finished => return,
             DeleteOutcome::Retry => {}
         }
     }
 }
 
-/// Deletes the records of machines that are gone, as many in one transaction as fit.
+/// Deletes the records of released machines, in transactions of as many as fit.
 fn delete_records(
     context: &Arc<ControllerContext>,
     lease_revision: Revision,
     machines: &[MachineId],
 ) -> DeleteOutcome {
-    let mut left: Vec<MachineId> = machines.to_vec();
-    while !left.is_empty() {
-        let prepared = prepare_deletion(context, lease_revision, &mut left);
+    let mut remaining: Vec<MachineId> = machines.to_vec();
+    while !remaining.is_empty() {
+        let prepared = prepare_deletion(context, lease_revision, &mut remaining);
         if prepared.machine_batches.is_empty() {
-            return DeleteOutcome::Ended;
+            return DeleteOutcome::Finished;
         }
         match context
             .store
@@ -181,34 +194,34 @@
             }
             Ok(Outcome::Conflict) => return refresh_machine_batches(context),
             Err(e) => {
-                log::debug!("failed to delete records of machines: {e}");
-                return DeleteOutcome::Ended;
+                log::debug!("failed to delete the records of {machines:?}: {e}");
+                return DeleteOutcome::Finished;
             }
         }
     }
-    DeleteOutcome::Ended
+    DeleteOutcome::Finished
 }
 
-/// Takes machines from `left` whose records fit into one transaction, and those without
-/// a record.
+/// Removes from `remaining` the machines whose records fit into one transaction, which it
+/// prepares, and those without a record.
 fn prepare_deletion(
     context: &ControllerContext,
     lease_revision: Revision,
-    left: &mut Vec<MachineId>,
+    remaining: &mut Vec<MachineId>,
 ) -> PreparedDeletion {
     let controller = context.controller.lock();
     let batches = &controller.cached.machine_batches;
-    let most = controller.config.batch_ops;
-    let mut touched = BTreeSet::new();
+    let max_batches = controller.config.batch_ops;
+    let mut batch_numbers = BTreeSet::new();
     let mut records = BTreeMap::new();
-    left.retain(|id| {
+    remaining.retain(|id| {
         let Some(number) = batches.find(id) else {
             return false;
         };
-        if touched.len() >= most && !touched.contains(&number) {
+        if batch_numbers.len() >= max_batches && !batch_numbers.contains(&number) {
             return true;
         }
-        touched.insert(number);
+        batch_numbers.insert(number);
         records.insert(id.clone(), None);
         false
     });
@@ -222,8 +235,8 @@
 }
 
 fn refresh_machine_batches(context: &Arc<ControllerContext>) -> DeleteOutcome {
-    match watch::changes(context, RequestPriority::ShardLeader, Duration::ZERO) {
+    match watch::read_changes(context, RequestPriority::ShardLeader, Duration::ZERO) {
         Ok(_) => DeleteOutcome::Retry,
-        Err(_) => DeleteOutcome::Ended,
+        Err(_) => DeleteOutcome::Finished,
     }
 }
--- a/crates/pulleywood-controller/src/coordinator/requests.rs
+++ b/crates/pulleywood-controller/src/coordinator/requests.rs
@@ -1,4 +1,4 @@
-//! The coordinator's requests to the leaders of shards.
+//! Requests of the coordinator to the leaders of shards.
 
 use crate::shard::leader_requests;
 use crate::state::ControllerContext;
@@ -15,16 +15,16 @@
 /// Stack of the thread that asks one leader, in bytes.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// What is asked of one shard's leader in a round.
+/// The requests to one shard's leader in a round.
 #[derive(Default)]
 struct LeaderRequests {
     moves: BTreeMap<ShardId, Vec<MachineId>>,
     transfers: Vec<(ShardId, Box<Demand>)>,
-    drained: Vec<MachineId>,
-    scaled_in: Vec<MachineId>,
+    machines_to_drain: Vec<MachineId>,
+    machines_to_release: Vec<MachineId>,
 }
 
-/// Asks the leader of a shard, which may be this controller.
+/// Sends a request to the leader of a shard, which may be this controller.
 pub fn ask_leader(context: &Arc<ControllerContext>, shard: ShardId, request: PeerRequest) {
     let leader = {
         let controller = context.controller.lock();
@@ -39,30 +39,33 @@
     if let Some(peer) = context.peers.get(&leader)
         && let Err(e) = peer.ask(&request, RESPONSE_TIMEOUT)
     {
-        log::debug!("failed to ask {leader}, the leader of shard {shard}: {e}");
+        log::debug!("failed to send a request to {leader}, the leader of shard {shard}: {e}");
     }
 }
 
-/// Asks shards' leaders, all at once and each in order, until the round is over: they
-/// wait for tokens, and the fleet must not wait for them. What is left is decided anew in
-/// the next round. Returns machines that were to be moved and were not.
+/// Sends the actions to shards' leaders until the end of the round: to all leaders
+/// concurrently, and to each one in order. Leaders may wait for store tokens, and fleet
+/// decisions must not wait for them; the next round decides again about requests that were
+/// not sent. Returns the machines whose move was not requested.
 pub fn ask_leaders(
     context: &Arc<ControllerContext>,
     actions: Vec<Action>,
-    until: MonotonicTime,
+    deadline: MonotonicTime,
 ) -> Vec<MachineId> {
-    let not_moved = Mutex::new(Vec::new());
+    let unmoved = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for (shard, requests) in group_by_shard(actions) {
-            let not_moved = &not_moved;
-            let run = move || requests.send(context, shard, until, not_moved);
+            let unmoved = &unmoved;
+            let run = move || requests.send(context, shard, deadline, unmoved);
             let thread = std::thread::Builder::new().stack_size(STACK_BYTES);
             if let Err(e) = thread.spawn_scoped(scope, run) {
-                log::error!("failed to start a thread: {e}");
+                log::error!(
+                    "failed to start the thread for requests to the leader of shard {shard}: {e}"
+                );
             }
         }
     });
-    not_moved.into_inner()
+    unmoved.into_inner()
 }
 
 fn group_by_shard(actions: Vec<Action>) -> BTreeMap<ShardId, LeaderRequests> {
@@ -76,15 +79,21 @@
                 .entry(to)
                 .or_default()
                 .push(id),
-            Action::Transfer(shard, to, like) => by_shard
+            Action::Transfer(shard, to, demand) => by_shard
                 .entry(shard)
                 .or_default()
                 .transfers
-                .push((to, like)),
-            Action::Drain(shard, machines) => {
-                by_shard.entry(shard).or_default().drained.extend(machines)
-            }
-            Action::ScaleIn(id, shard) => by_shard.entry(shard).or_default().scaled_in.push(id),
+                .push((to, demand)),
+            Action::Drain(shard, machines) => by_shard
+                .entry(shard)
+                .or_default()
+                .machines_to_drain
+                .extend(machines),
+            Action::ScaleIn(id, shard) => by_shard
+                .entry(shard)
+                .or_default()
+                .machines_to_release
+                .push(id),
             Action::ScaleOut(..) | Action::ReleaseDead(..) => {}
         }
     }
@@ -96,29 +105,44 @@
         self,
         context: &Arc<ControllerContext>,
         shard: ShardId,
-        until: MonotonicTime,
-        not_moved: &Mutex<Vec<MachineId>>,
+        deadline: MonotonicTime,
+        unmoved: &Mutex<Vec<MachineId>>,
     ) {
-        let late = || context.clock.now() >= until;
+        let is_late = || context.clock.now() >= deadline;
         for (to, machines) in self.moves {
             log::debug!("decided to move {machines:?} from shard {shard} to {to}");
-            if late() {
-                not_moved.lock().extend(machines);
+            if is_late() {
+                unmoved.lock().extend(machines);
             } else {
                 ask_leader(context, shard, PeerRequest::MoveMachines(machines, to));
             }
         }
-        for (to, like) in self.transfers.into_iter().take_while(|_| !late()) {
-            let tasks = like.count;
+        for (to, demand) in self.transfers.into_iter().take_while(|_| !is_late()) {
+            let tasks = demand.count;
             log::debug!("decided to transfer {tasks} tasks from shard {shard} to {to}");
-            ask_leader(context, shard, PeerRequest::TransferTasks(shard, to, like));
+            ask_leader(
+                context,
+                shard,
+                PeerRequest::TransferTasks(shard, to, demand),
+            );
         }
-        if !self.drained.is_empty() && !late() {
-            ask_leader(context, shard, PeerRequest::DrainMachines(self.drained));
+        if !self.machines_to_drain.is_empty() && !is_late() {
+            ask_leader(
+                context,
+                shard,
+                PeerRequest::DrainMachines(self.machines_to_drain),
+            );
         }
-        if !self.scaled_in.is_empty() && !late() {
-            log::debug!("decided to release {:?} of shard {shard}", self.scaled_in);
-            ask_leader(context, shard, PeerRequest::ReleaseMachines(self.scaled_in));
+        if !self.machines_to_release.is_empty() && !is_late() {
+            log::debug!(
+                "decided to release {:?} of shard {shard}",
+                self.machines_to_release
+            );
+            ask_leader(
+                context,
+                shard,
+                PeerRequest::ReleaseMachines(self.machines_to_release),
+            );
         }
     }
 }
--- a/crates/pulleywood-controller/src/fencing_token.rs
+++ b/crates/pulleywood-controller/src/fencing_token.rs
@@ -7,7 +7,7 @@
 
 /// The newest fencing token and the counter's revision, read from the store. The first
 /// ones if there is no counter yet.
-pub fn newest_fencing_token(
+pub fn read_fencing_token_counter(
     context: &ControllerContext,
 ) -> Result<Versioned<FencingToken>, StoreError> {
     let item = context
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -1,5 +1,5 @@
-//! The standing audit: compares the store with what this controller knows, slice by slice,
-//! and takes up what was missed.
+//! The continuous audit: compares the store with this controller's state, slice by slice, and
+//! loads records that are missing from that state.
 
 use super::Recovery;
 use crate::state::{
@@ -15,41 +15,42 @@
 use std::time::Duration;
 
 impl Recovery {
-    /// One step of the standing audit, if tokens are to spare.
+    /// Reads and compares the next slice of the store, if the audit is due and the budget has
+    /// tokens for it.
     pub(super) fn audit(&mut self, context: &Arc<ControllerContext>) -> Result<(), StoreError> {
         let now = context.clock.now();
-        if self.policy.slice() == 0 || now.since(self.audited) < self.policy.audit_every() {
+        if self.policy.slice() == 0 || now.since(self.last_audit) < self.policy.audit_every() {
             return Ok(());
         }
-        self.audited = now;
-        let next = {
+        self.last_audit = now;
+        let next_read = {
             let controller = context.controller.lock();
             if !controller.is_cached || !controller.may_act(now) {
                 return Ok(());
             }
             self.audit.next(&*controller)
         };
-        let Some(next) = next else {
+        let Some(next_read) = next_read else {
             return Ok(());
         };
-        let passes = self.audit.counts().passes;
+        let passes_before = self.audit.counts().passes;
         let page = context.store.slice(
             RequestPriority::Housekeeping,
-            next.prefix,
-            &next.after,
+            next_read.prefix,
+            &next_read.after,
             self.policy.slice(),
         )?;
-        // What the slice shows was committed before: the watch has it by then.
-        watch::changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
+        // The slice contains only earlier commits, so this read of changes covers all of them.
+        watch::read_changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
         let findings = {
             let controller = context.controller.lock();
             self.audit
                 .take(&page.items, page.more, page.store_revision, &*controller)
         };
         for finding in &findings {
-            take_up(context, finding);
+            load_missing(context, finding);
         }
-        if self.audit.counts().passes > passes {
+        if self.audit.counts().passes > passes_before {
             self.log_pass();
         }
         Ok(())
@@ -63,7 +64,7 @@
             keys = counts.keys,
             suspects = counts.suspects,
             findings = counts.findings,
-            "audit: the whole store was compared"
+            "audit compared the whole store"
         );
     }
 }
@@ -102,43 +103,47 @@
     }
 }
 
-/// Launches of a job that was taken up are held back until it has been read once more.
-const VERIFY_TIME: Duration = Duration::from_secs(3);
+/// Launches of a job that the audit loaded are held for this long, within which its record is
+/// read once more.
+const VERIFICATION_HOLD: Duration = Duration::from_secs(3);
 
-/// Takes up what the audit found, by the paths that the watch takes.
-fn take_up(context: &ControllerContext, finding: &Finding) {
+/// Loads a record that the audit found missing, in the same way as the watch would.
+fn load_missing(context: &ControllerContext, finding: &Finding) {
     let (missing, key) = (&finding.missing, &finding.item.path);
     if !missing.can_be_taken_up() {
-        tracing::error!("audit: {missing:?} in {key}: nobody can take this up");
+        tracing::error!(
+            "audit did not load record {key}, which is missing here ({missing:?}): its shard does \
+             not exist"
+        );
         return;
     }
-    tracing::error!("audit: {missing:?} in {key}: taken up");
+    tracing::error!("audit started to load record {key}, which is missing here: {missing:?}");
     let now = context.clock.now();
     match missing {
         Missing::JobInView(id) | Missing::Job(_, id) => {
             let mut controller = context.controller.lock();
-            controller.take_up_job(id, &finding.item, now);
-            controller.hold_launches(std::slice::from_ref(id), now + VERIFY_TIME);
+            controller.load_missing_job(id, &finding.item, now);
+            controller.hold_launches(std::slice::from_ref(id), now + VERIFICATION_HOLD);
             drop(controller);
-            verify_job(context, id, &finding.item);
+            drop_if_changed(context, id, &finding.item);
         }
         Missing::MachineInView(id) | Missing::Machine(_, id) => {
             let mut controller = context.controller.lock();
-            controller.take_up_machine(id, &finding.item, now);
+            controller.load_missing_machine(id, &finding.item, now);
         }
         Missing::JobShard(..) | Missing::MachineShard(..) => {}
     }
 }
 
-/// The job may have ended while it was being taken up, and the watch does not bring that
-/// again: unless its record is unchanged, the job is dropped, and the next pass of the
-/// audit checks it again.
-fn verify_job(context: &ControllerContext, id: &JobId, item: &Item) {
+/// Drops a loaded job unless its record is unchanged. The job may have ended while it was
+/// being loaded, and the watch does not deliver that end again. The next pass of the audit
+/// checks the job again.
+fn drop_if_changed(context: &ControllerContext, id: &JobId, item: &Item) {
     let stored = context.store.get(RequestPriority::ShardLeader, &item.path);
-    if matches!(&stored, Ok(Some(now)) if now.revision == item.revision) {
+    if matches!(&stored, Ok(Some(current)) if current.revision == item.revision) {
         return;
     }
-    tracing::info!("audit: {id} changed meanwhile");
+    tracing::info!("audit dropped job {id}: its record changed while it was loaded");
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     controller.cached.jobs.remove(id);
@@ -150,8 +155,9 @@
 }
 
 impl ControllerState {
-    /// A live job that was missing here. An earlier leader may have launched it.
-    fn take_up_job(&mut self, id: &JobId, item: &Item, now: MonotonicTime) {
+    /// Adds a live job that was missing from the cached state or from a led shard. A previous
+    /// leader may have launched tasks of it.
+    fn load_missing_job(&mut self, id: &JobId, item: &Item, now: MonotonicTime) {
         let entry = match Key::parse(&item.path) {
             Some(Key::JobBatch(_)) => {
                 let batch = read_job_batch(&item.value, &item.path);
@@ -171,8 +177,9 @@
         }
     }
 
-    /// A machine that was missing here. An earlier leader may have launched tasks on it.
-    fn take_up_machine(&mut self, id: &MachineId, item: &Item, now: MonotonicTime) {
+    /// Adds a machine that was missing from the cached state or from its shard. A previous
+    /// leader may have launched tasks on it.
+    fn load_missing_machine(&mut self, id: &MachineId, item: &Item, now: MonotonicTime) {
         let Some(batch) = read_machine_batch(&item.value, &item.path) else {
             return;
         };
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -1,8 +1,8 @@
-//! Workers that have seen a fencing token above the counter or above their shard's: the
-//! store is older than what they went through.
+//! Handles workers that have seen a fencing token above the stored counter or above their
+//! shard's token. They prove that the store was restored from a state older than that token.
 
 use super::Recovery;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::shard::hand_over::hand_over;
 use crate::state::{ControllerContext, ControllerState, Versioned};
 use crate::watch;
@@ -16,36 +16,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What workers showed is forgotten after this long.
-const SHOWN_TIME: Duration = Duration::from_secs(60);
+/// Fencing tokens in workers' heartbeats are considered up to this age.
+const MAX_SHOWN_TOKEN_AGE: Duration = Duration::from_secs(60);
 
 impl Recovery {
-    /// Raises the fencing-token counter past what workers showed, and reacquires shards
-    /// whose machines have seen a fencing token above theirs.
+    /// Raises the fencing-token counter above the tokens that workers have seen, or, if it is
+    /// above them, reacquires the shards whose machines have seen a token above the shard's.
     pub(super) fn check_fencing_tokens(
         &mut self,
         context: &Arc<ControllerContext>,
     ) -> Result<(), StoreError> {
-        let began = context.clock.now();
+        let started_at = context.clock.now();
         let shown = {
             let mut controller = context.controller.lock();
-            let now = began;
+            let now = started_at;
             controller
                 .shown_fencing_tokens
-                .retain(|_, shown| now.since(shown.at) < SHOWN_TIME);
+                .retain(|_, shown| now.since(shown.at) < MAX_SHOWN_TOKEN_AGE);
             if controller.shown_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
             controller.shown_fencing_tokens.clone()
         };
-        // The shard that the machine belongs to now decides, not the one it belonged to.
-        watch::changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
+        // A machine may have been moved since its heartbeat: its token is compared with that of
+        // its present shard.
+        watch::read_changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
         let Versioned {
             value: counter,
             revision,
-        } = newest_fencing_token(context)?;
-        let gap = self.policy.most_fencing_token_gap as u64;
-        match counter::decide(&shown, counter, began, gap) {
+        } = read_fencing_token_counter(context)?;
+        let max_gap = self.policy.most_fencing_token_gap as u64;
+        match counter::decide(&shown, counter, started_at, max_gap) {
             CounterDecision::Raise { to, machine } => {
                 raise_counter(context, &machine, (counter, to), revision)
             }
@@ -54,8 +55,8 @@
                 machine,
             } => {
                 tracing::error!(
-                    "{machine} shows fencing token {fencing_token}, the counter is {counter}: too far to be raised \
-                     by itself (most_term_gap)"
+                    "did not raise the fencing-token counter {counter} to token {fencing_token} seen \
+                     by machine {machine}: the gap exceeds most_term_gap ({max_gap})"
                 );
                 context
                     .controller
@@ -64,49 +65,49 @@
                     .remove(&machine);
                 Ok(())
             }
-            CounterDecision::Covered => self.reacquire_shards(context, &shown, began),
+            CounterDecision::Covered => self.reacquire_shards(context, &shown, started_at),
         }
     }
 
-    /// Reacquires the shards whose machines obey a later fencing token than theirs,
-    /// although this controller still leads them: that fencing token is of a history that
-    /// the store has lost.
+    /// Reacquires the shards whose machines have seen a later fencing token than the shard's,
+    /// although this controller still leads them: the store has lost the state in which that
+    /// token was issued.
     fn reacquire_shards(
         &mut self,
         context: &Arc<ControllerContext>,
         shown: &BTreeMap<MachineId, Shown>,
-        began: MonotonicTime,
+        started_at: MonotonicTime,
     ) -> Result<(), StoreError> {
-        let mut behind: Vec<ShardId> = Vec::new();
+        let mut outdated: Vec<ShardId> = Vec::new();
         {
             let mut controller = context.controller.lock();
-            for (id, shown) in shown.iter().filter(|(_, s)| s.at < began) {
-                match controller.obeys_lost_fencing_token(id, shown.fencing_token) {
-                    Some(shard) => behind.push(shard),
+            for (id, shown) in shown.iter().filter(|(_, s)| s.at < started_at) {
+                match controller.shard_behind_token(id, shown.fencing_token) {
+                    Some(shard) => outdated.push(shard),
                     None => drop(controller.shown_fencing_tokens.remove(id)),
                 }
             }
         }
-        behind.sort();
-        behind.dedup();
+        outdated.sort();
+        outdated.dedup();
         let lease = context.controller.lock().config.lease;
-        for shard in behind {
-            let last = self.reacquired.get(&shard);
-            if last.is_some_and(|at| began.since(*at) < lease) {
+        for shard in outdated {
+            let last = self.last_reacquired.get(&shard);
+            if last.is_some_and(|at| started_at.since(*at) < lease) {
                 continue;
             }
             tracing::error!(
-                "workers of shard {shard} have seen a later fencing token: reacquiring it"
+                "started to reacquire shard {shard}: its workers have seen a later fencing token"
             );
-            self.reacquired.insert(shard, began);
+            self.last_reacquired.insert(shard, started_at);
             hand_over(context, shard)?;
         }
         Ok(())
     }
 }
 
-/// Raises the fencing-token counter, and ends the coordinator lease, whose names rest on
-/// a fencing token that may have been used before.
+/// Raises the fencing-token counter and ends the coordinator lease: the names of its rental
+/// requests contain a fencing token that may have been issued before.
 fn raise_counter(
     context: &Arc<ControllerContext>,
     machine: &MachineId,
@@ -114,8 +115,8 @@
     revision: Revision,
 ) -> Result<(), StoreError> {
     tracing::error!(
-        "{machine} has seen fencing token {to}, the counter is {from}: the state service is older than \
-         what workers went through; raising the counter"
+        "started to raise the fencing-token counter from {from} to {to}, which machine {machine} has \
+         seen: the state service was restored from an older state"
     );
     let coordinator_lease = context.controller.lock().cached.coordinator_lease.clone();
     let raised = FencingTokenCounter { last: to };
@@ -129,17 +130,19 @@
         .store
         .commit(RequestPriority::ShardLeader, &transaction)?
     {
-        Outcome::Applied(_) => tracing::error!("the fencing token counter is now {to}"),
-        // Another controller raised it, or drew a fencing token: the next round checks again.
-        Outcome::Conflict => tracing::debug!("the fencing token counter has changed meanwhile"),
+        Outcome::Applied(_) => tracing::error!("raised the fencing-token counter to {to}"),
+        // Another controller raised the counter or issued a token; the next round checks again.
+        Outcome::Conflict => tracing::debug!(
+            "did not raise the fencing-token counter to {to}: it changed concurrently"
+        ),
     }
     Ok(())
 }
 
 impl ControllerState {
-    /// The led shard whose machine obeys a later fencing token than the shard's,
-    /// though no record says that it belongs elsewhere.
-    fn obeys_lost_fencing_token(&self, id: &MachineId, shown: FencingToken) -> Option<ShardId> {
+    /// Returns the shard of a machine if this controller leads it under an earlier fencing
+    /// token than the machine has seen.
+    fn shard_behind_token(&self, id: &MachineId, shown: FencingToken) -> Option<ShardId> {
         let (record, _) = self.cached.machines.get(id)?;
         let led = self
             .led_shards
--- a/crates/pulleywood-controller/src/recovery/mod.rs
+++ b/crates/pulleywood-controller/src/recovery/mod.rs
@@ -1,6 +1,6 @@
-//! The recovery subsystem: watches each shard's recovery, lets services' images come first
-//! meanwhile, raises a fencing-token counter that is behind, and audits the store. It runs
-//! only if a policy script switches it on.
+//! The recovery subsystem. It tracks the recovery phase of each led shard, gives image fetches
+//! of services priority during a recovery, raises a fencing-token counter that is behind the
+//! workers, and audits the store. It runs only if a policy script switches it on.
 
 mod audit;
 mod fencing_tokens;
@@ -16,21 +16,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often phases are updated.
-const ROUND: Duration = Duration::from_millis(500);
+/// Time between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the thread remembers between rounds.
+/// State of the recovery thread between rounds.
 struct Recovery {
     policy: RecoveryPolicy,
     progress: Progress,
     spans: BTreeMap<ShardId, tracing::Span>,
     audit: Audit,
-    audited: MonotonicTime,
-    /// When shards were last reacquired for workers' fencing tokens.
-    reacquired: BTreeMap<ShardId, MonotonicTime>,
+    /// When the audit last read a slice of the store.
+    last_audit: MonotonicTime,
+    /// When each shard was last reacquired because its workers have seen a later fencing token.
+    last_reacquired: BTreeMap<ShardId, MonotonicTime>,
 }
 
-/// Runs for the life of the process, if the subsystem is switched on.
+/// Runs the rounds of the recovery subsystem for the life of the process. Returns at once if
+/// the subsystem is switched off.
 pub fn run(context: &Arc<ControllerContext>) {
     let Some(policy) = context.recovery.clone() else {
         return;
@@ -40,11 +42,11 @@
         progress: Progress::default(),
         spans: BTreeMap::new(),
         audit: Audit::default(),
-        audited: context.clock.now(),
-        reacquired: BTreeMap::new(),
+        last_audit: context.clock.now(),
+        last_reacquired: BTreeMap::new(),
     };
     loop {
-        std::thread::sleep(ROUND);
+        std::thread::sleep(ROUND_INTERVAL);
         recovery.update_phases(context);
         if let Err(e) = recovery.check_fencing_tokens(context) {
             tracing::debug!("failed to check the fencing-token counter: {e}");
@@ -56,7 +58,8 @@
 }
 
 impl Recovery {
-    /// Updates and logs each shard's phase, and sets the gates of those that recover.
+    /// Updates and logs the phase of each led shard, and sets the fetch gates of those that are
+    /// recovering.
     fn update_phases(&mut self, context: &ControllerContext) {
         let now = context.clock.now();
         let mut transitions = Vec::new();
@@ -90,7 +93,8 @@
         }
     }
 
-    /// One span a shard and a phase: it ends with the phase.
+    /// Logs a transition in a span of the new phase. Each phase of a shard has its own span,
+    /// which ends with the phase.
     fn log_transition(&mut self, transition: &Transition, snapshot: Option<&ShardSnapshot>) {
         let Transition {
             shard,
@@ -100,21 +104,21 @@
         } = transition;
         let span = tracing::info_span!("recovery", shard = shard.0, fencing_token = fencing_token.0, phase = ?to);
         span.in_scope(|| {
-            let numbers = snapshot.cloned().unwrap_or_default();
+            let counts = snapshot.cloned().unwrap_or_default();
             tracing::info!(
                 from = ?transition.from,
                 after_ms = transition.lasted.as_millis() as u64,
                 total_ms = transition.total.as_millis() as u64,
-                machines = numbers.machines,
-                confirmed = numbers.confirmed,
-                unreported = numbers.unreported,
-                running = numbers.running,
-                stopping = numbers.stopping,
-                uncommitted = numbers.uncommitted,
-                older_waiting = numbers.older_waiting,
-                older_blocked = numbers.older_blocked,
-                services_missing = numbers.services_missing,
-                "shard {shard}: recovery is in phase {to:?}"
+                machines = counts.machines,
+                confirmed = counts.confirmed,
+                unreported = counts.unreported,
+                running = counts.running,
+                stopping = counts.stopping,
+                uncommitted = counts.uncommitted,
+                older_waiting = counts.older_waiting,
+                older_blocked = counts.older_blocked,
+                services_missing = counts.services_missing,
+                "recovery of shard {shard} entered phase {to:?}"
             );
         });
         match to {
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -7,7 +7,7 @@
 
 use super::load::load;
 use crate::clock::time_of_day_ms;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, read};
 use pulleywood_protocol::record::{
     FencingTokenCounter, LeaseHolder, PreviousLeaseHolder, QuotaRecord, previous_leader_key,
@@ -65,7 +65,7 @@
     shard: ShardId,
     lease_id: LeaseId,
 ) -> Result<(), StoreError> {
-    let counter = newest_fencing_token(context)?;
+    let counter = read_fencing_token_counter(context)?;
     let previous = read_previous_leader(context, shard)?;
     let prepared = prepare(context, shard, lease_id, counter, previous);
     match prepared.commit(context)? {
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -45,7 +45,7 @@
 ) {
     let context = Arc::clone(context);
     let work = move |machine: Announcement| announce_to_machine(&context, shard, &machine);
-    bounded_parallelism::few_at_a_time("announce", AT_ONCE, machines, work);
+    bounded_parallelism::spawn_bounded("announce", AT_ONCE, machines, work);
 }
 
 fn announce_to_machine(context: &ControllerContext, shard: ShardId, announcement: &Announcement) {
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -2,7 +2,7 @@
 //! anything is launched on them.
 
 use crate::batch_queue::WaitOutcome;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::queues::{RegistrationOutcome, UnregisteredMachine};
 use crate::state::{ControllerContext, ControllerState, Versioned};
 use crate::watch;
@@ -159,7 +159,7 @@
 /// Other controllers write machine batches too; a transaction that rests on an old head
 /// is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::changes(context, RequestPriority::Record, Duration::ZERO) {
+    if let Err(e) = watch::read_changes(context, RequestPriority::Record, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
@@ -183,7 +183,7 @@
     let Some(seen) = seen else {
         return Ok(Versioned::default());
     };
-    let counter = newest_fencing_token(context)?;
+    let counter = read_fencing_token_counter(context)?;
     let fresh = counter.value.max(seen).next();
     Ok(Versioned::new(fresh, counter.revision))
 }
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -2,7 +2,7 @@
 //! cloud. Only machines that hold nothing leave.
 
 use super::RequestOutcome;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, read_machine_batch};
 use pulleywood_protocol::machine_batch::MachineBatchAfter;
 use pulleywood_protocol::record::{
@@ -99,7 +99,7 @@
     to: Destination,
 ) -> RequestOutcome {
     let counter = match to {
-        Destination::Shard(_) => newest_fencing_token(context),
+        Destination::Shard(_) => read_fencing_token_counter(context),
         Destination::Cloud => Ok(Versioned::default()),
     };
     let Ok(counter) = counter else {
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -23,7 +23,7 @@
     let reads = &context.linearizable_reads;
     loop {
         let newest = reads.next_read();
-        let result = changes(context, RequestPriority::Question, Duration::ZERO);
+        let result = read_changes(context, RequestPriority::Question, Duration::ZERO);
         if let Err(e) = &result {
             log::debug!("failed to read changes for users: {e}");
         }
@@ -36,7 +36,7 @@
 /// newer than this call. `wait`: how long the store waits for a change if there is
 /// none. Returns whether anything changed; [`StoreError::TooOld`] if all keys must be
 /// read anew.
-pub fn changes(
+pub fn read_changes(
     context: &Arc<ControllerContext>,
     priority: RequestPriority,
     wait: Duration,
@@ -89,7 +89,7 @@
 /// Watches the store; runs for the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     loop {
-        match changes(context, RequestPriority::ShardLeader, WAIT) {
+        match read_changes(context, RequestPriority::ShardLeader, WAIT) {
             // Changes gather before the next one: a bound on requests.
             Ok(true) => std::thread::sleep(context.poll_intervals.watch),
             Ok(false) => {}
