--- a/crates/pulleywood-controller/tests/cluster/mod.rs
+++ b/crates/pulleywood-controller/tests/cluster/mod.rs
@@ -1,10 +1,10 @@
-//! A cluster of real controller processes with a fake store, a fake cloud and proxies between
-//! controllers, for tests with faults.
+//! A cluster of real controller processes with a fake store, a fake cloud, and proxies between
+//! the controllers that inject faults.
 //!
-//! Nothing depends on the speed of the machine: each step waits for a condition, up to a bound
-//! that only a hang reaches.
+//! Tests do not depend on the speed of the host: each step waits for a condition, with a
+//! time-out that is reached only if the cluster makes no progress.
 
-// Each test file uses some of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use pulleywood_protocol::cbor::{self, Amount};
@@ -27,21 +27,24 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for a condition.
-pub const BOUND: Duration = Duration::from_secs(90);
-/// Controllers, and shards, of a default cluster.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(90);
+/// Number of controllers, and of shards, in a default cluster.
 pub const CONTROLLERS: usize = 3;
 
-/// Waits until a condition holds; fails after [`BOUND`].
-pub fn wait(what: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + BOUND;
+/// Waits until a condition holds. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_until(expectation: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "never came: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "waited longer than {WAIT_TIMEOUT:?} until {expectation}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A free port below the ephemeral range, so that no outgoing connection takes it before the
-/// controller binds it.
+/// Returns a free local port below the ephemeral range, so that no outgoing connection takes it
+/// before the controller binds it.
 fn free_port() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -54,53 +57,53 @@
     }
 }
 
-/// Settings of a test cluster.
-pub struct Options {
-    /// Controllers, and as many shards.
+/// Parameters of a test cluster.
+pub struct ClusterOptions {
+    /// Number of controllers, and of shards.
     pub controllers: usize,
-    /// GPUs that the team may use; 0: no limit.
-    pub limit: f64,
-    /// Writes a second to the store.
+    /// GPUs that the team may use; 0 for no limit.
+    pub gpu_limit: f64,
+    /// Write rate of the store, in writes per second.
     pub write_rps: f64,
-    /// Seconds of a worker's lease.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Seconds between two heartbeats.
+    /// Time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud can rent out.
     pub machines: usize,
-    /// Socket limit of a controller.
-    pub sockets: u32,
-    /// The operators' policy scripts.
+    /// Socket limit of each controller.
+    pub max_sockets: u32,
+    /// Policy scripts that the controllers run, in this order.
     pub policies: Vec<std::path::PathBuf>,
 }
 
-impl Default for Options {
+impl Default for ClusterOptions {
     fn default() -> Self {
-        Options {
+        ClusterOptions {
             controllers: CONTROLLERS,
-            limit: 0.0,
+            gpu_limit: 0.0,
             write_rps: 200.0,
             lease_s: 2.0,
             report_s: 0.2,
             machines: 4,
-            sockets: 400,
+            max_sockets: 400,
             policies: Vec::new(),
         }
     }
 }
 
-/// The policy script that switches the recovery subsystem on.
+/// Path of the policy script that switches the recovery subsystem on.
 pub fn recovery_policy() -> std::path::PathBuf {
     let crate_dir = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     crate_dir.join("../../deploy/recovery.lua")
 }
 
 /// Member id of a controller.
-fn name(n: usize) -> String {
-    format!("c-{n}")
+fn member_id(controller: usize) -> String {
+    format!("c-{controller}")
 }
 
-/// The only machine type: two tasks of [`job`] fit on a machine by their GPUs.
+/// The only machine type. Its GPUs suffice for two tasks of [`job`].
 fn flavor() -> Flavor {
     Flavor {
         label: "g2".into(),
@@ -116,7 +119,7 @@
     }
 }
 
-fn cluster_settings(options: &Options) -> Cluster {
+fn cluster_settings(options: &ClusterOptions) -> Cluster {
     Cluster {
         initial_size: options.controllers as u32,
         zones: vec!["a".into()],
@@ -125,7 +128,7 @@
             cpus: 0.0,
             cpus_max: 0.0,
             gpus: 0.0,
-            gpus_max: options.limit,
+            gpus_max: options.gpu_limit,
         }],
         objectives: vec![],
         workers: Workers {
@@ -147,7 +150,7 @@
             max_threads: 2000,
             cores: 1.0,
             ram_mb: 200.0,
-            max_sockets: options.sockets,
+            max_sockets: options.max_sockets,
         },
         clock_error_ms: 0.0,
     }
@@ -163,78 +166,79 @@
     file
 }
 
-/// Controllers as child processes and the fakes they talk to.
+/// Controllers as child processes, with the fake store and the fake cloud that they use.
 pub struct TestCluster {
+    /// Policy scripts that the controllers run, in this order.
     pub policies: Vec<std::path::PathBuf>,
-    /// Watches tasks for broken rules.
+    /// Checks the invariants of tasks while the test runs.
     pub invariants: Arc<InvariantChecker>,
     pub store: FakeStore,
     pub cloud: FakeCloud,
-    /// The store endpoint of each controller, where faults are set.
-    pub endpoints: Vec<StoreEndpoint>,
-    /// Proxies from the first controller to the second.
+    /// Each controller's endpoint of the store, where faults are injected.
+    pub store_endpoints: Vec<StoreEndpoint>,
+    /// Proxies of the connections between controllers: from, to, proxy.
     pub proxies: Vec<(usize, usize, CuttableProxy)>,
-    /// Addresses for users and workers.
+    /// Addresses that users and workers connect to.
     pub serve_on: Vec<SocketAddr>,
-    /// Settings files.
-    pub files: Vec<std::path::PathBuf>,
-    /// The controllers that run.
+    /// Settings file of each controller.
+    pub settings_files: Vec<std::path::PathBuf>,
+    /// Process of each controller; `None` if it does not run.
     pub processes: Vec<Option<Child>>,
-    /// `cancel_s`: how long tasks of a cancelled job may still run.
-    pub cancel: Duration,
+    /// How long tasks of a cancelled job may still run (`cancel_s` in the settings).
+    pub cancel_timeout: Duration,
 }
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
         self.kill_all();
-        for file in &self.files {
+        for file in &self.settings_files {
             let _ = std::fs::remove_file(file);
         }
     }
 }
 
 impl TestCluster {
-    /// Three controllers, a team limited to `limit` GPUs (0: no limit), and a cloud with four
-    /// machines of two GPUs each.
-    pub fn new(limit: f64) -> TestCluster {
-        TestCluster::build(Options {
-            limit,
-            ..Options::default()
+    /// Starts three controllers, a team limited to `gpu_limit` GPUs (0 for no limit), and a
+    /// cloud with four machines of two GPUs each.
+    pub fn new(gpu_limit: f64) -> TestCluster {
+        TestCluster::build(ClusterOptions {
+            gpu_limit,
+            ..ClusterOptions::default()
         })
     }
 
-    /// The same with `write_rps` writes a second to the store.
-    pub fn with_write_rate(limit: f64, write_rps: f64) -> TestCluster {
-        TestCluster::build(Options {
-            limit,
+    /// Like [`TestCluster::new`], with a write rate of the store of `write_rps` per second.
+    pub fn with_write_rate(gpu_limit: f64, write_rps: f64) -> TestCluster {
+        TestCluster::build(ClusterOptions {
+            gpu_limit,
             write_rps,
-            ..Options::default()
+            ..ClusterOptions::default()
         })
     }
 
-    /// The same with workers' leases of `lease_s` seconds.
-    pub fn with_lease(limit: f64, lease_s: f64) -> TestCluster {
-        TestCluster::build(Options {
-            limit,
+    /// Like [`TestCluster::new`], with workers' leases of `lease_s` seconds.
+    pub fn with_lease(gpu_limit: f64, lease_s: f64) -> TestCluster {
+        TestCluster::build(ClusterOptions {
+            gpu_limit,
             lease_s,
-            ..Options::default()
+            ..ClusterOptions::default()
         })
     }
 
-    /// Starts a cluster with these settings and waits until all controllers are ready.
-    pub fn build(options: Options) -> TestCluster {
+    /// Starts a cluster with these options and waits until all controllers are ready.
+    pub fn build(options: ClusterOptions) -> TestCluster {
         let invariants = Arc::new(InvariantChecker::default());
-        if options.limit > 0.0 {
-            invariants.limit("red", options.limit);
+        if options.gpu_limit > 0.0 {
+            invariants.limit("red", options.gpu_limit);
         }
         let count = options.controllers;
         let serve_on: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
-        let peers: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
+        let peer_addresses: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
         let controllers: Controllers = Controllers::default();
         *controllers.lock() = serve_on
             .iter()
             .enumerate()
-            .map(|(n, address)| (MemberId::from(name(n).as_str()), *address))
+            .map(|(controller, address)| (MemberId::from(member_id(controller).as_str()), *address))
             .collect();
         let cloud = FakeCloud::start(
             flavor(),
@@ -248,39 +252,44 @@
             invariants,
             store: FakeStore::default(),
             cloud: cloud.unwrap(),
-            endpoints: Vec::new(),
+            store_endpoints: Vec::new(),
             proxies: Vec::new(),
             serve_on,
-            files: Vec::new(),
+            settings_files: Vec::new(),
             processes: Vec::new(),
-            cancel: Duration::from_secs_f64(options.lease_s + 4.0),
+            cancel_timeout: Duration::from_secs_f64(options.lease_s + 4.0),
             policies: options.policies.clone(),
         };
-        for n in 0..count {
-            cluster.add_controller(n, &peers, &options);
+        for controller in 0..count {
+            cluster.add_controller(controller, &peer_addresses, &options);
         }
         cluster.wait_all_ready();
         cluster
     }
 
-    /// Starts a controller with an endpoint of the store and a proxy to each peer.
-    fn add_controller(&mut self, n: usize, peers: &[SocketAddr], options: &Options) {
+    /// Starts a controller with its own endpoint of the store and a proxy to each peer.
+    fn add_controller(
+        &mut self,
+        controller: usize,
+        peer_addresses: &[SocketAddr],
+        options: &ClusterOptions,
+    ) {
         let endpoint = self.store.endpoint().unwrap();
         let mut seeds = Vec::new();
-        for m in (0..peers.len()).filter(|m| *m != n) {
-            let proxy = CuttableProxy::start(peers[m]).unwrap();
+        for peer in (0..peer_addresses.len()).filter(|peer| *peer != controller) {
+            let proxy = CuttableProxy::start(peer_addresses[peer]).unwrap();
             seeds.push(Seed {
-                member: name(m),
+                member: member_id(peer),
                 domain: "a".into(),
                 endpoint: proxy.addr.to_string(),
             });
-            self.proxies.push((n, m, proxy));
+            self.proxies.push((controller, peer, proxy));
         }
         let settings = Settings {
-            member: name(n),
+            member: member_id(controller),
             domain: "a".into(),
-            serve_on: self.serve_on[n].to_string(),
-            cluster_listen: peers[n].to_string(),
+            serve_on: self.serve_on[controller].to_string(),
+            cluster_listen: peer_addresses[controller].to_string(),
             seeds,
             services: Services {
                 cloud: self.cloud.addr.to_string(),
@@ -288,17 +297,17 @@
             },
             cluster: cluster_settings(options),
         };
-        self.files.push(settings_file(&settings));
-        self.endpoints.push(endpoint);
+        self.settings_files.push(settings_file(&settings));
+        self.store_endpoints.push(endpoint);
         self.processes.push(None);
-        self.start(n);
+        self.start(controller);
     }
 
-    /// Starts a controller.
-    pub fn start(&mut self, n: usize) {
+    /// Starts the process of a controller.
+    pub fn start(&mut self, controller: usize) {
         let child = Command::new(env!("CARGO_BIN_EXE_pulleywood"))
             .arg("--config")
-            .arg(&self.files[n])
+            .arg(&self.settings_files[controller])
             .args(
                 self.policies
                     .iter()
@@ -310,12 +319,12 @@
             )
             .stdout(Stdio::null())
             .spawn();
-        self.processes[n] = Some(child.unwrap());
+        self.processes[controller] = Some(child.unwrap());
     }
 
-    /// Kills a controller, if it runs, and waits for its end.
-    pub fn kill(&mut self, n: usize) {
-        if let Some(mut child) = self.processes[n].take() {
+    /// Kills the process of a controller, if it runs, and waits until it has ended.
+    pub fn kill(&mut self, controller: usize) {
+        if let Some(mut child) = self.processes[controller].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -323,22 +332,22 @@
 
     /// Kills all controllers.
     pub fn kill_all(&mut self) {
-        for n in 0..self.processes.len() {
-            self.kill(n);
+        for controller in 0..self.processes.len() {
+            self.kill(controller);
         }
     }
 
     /// Starts all controllers.
     pub fn start_all(&mut self) {
-        for n in 0..self.processes.len() {
-            self.start(n);
+        for controller in 0..self.processes.len() {
+            self.start(controller);
         }
     }
 
-    /// Kills a controller and starts it again at once.
-    pub fn restart(&mut self, n: usize) {
-        self.kill(n);
-        self.start(n);
+    /// Kills a controller and starts it again without a pause.
+    pub fn restart(&mut self, controller: usize) {
+        self.kill(controller);
+        self.start(controller);
     }
 
     /// Kills all controllers, then starts all again.
@@ -347,137 +356,158 @@
         self.start_all();
     }
 
-    /// Restarts one controller after the other, without waiting until it is ready.
+    /// Restarts the controllers one after the other, without waiting until each is ready.
     pub fn restart_one_by_one(&mut self) {
-        for n in 0..self.processes.len() {
-            self.restart(n);
+        for controller in 0..self.processes.len() {
+            self.restart(controller);
         }
     }
 
-    /// Cuts a controller off from the store and its peers, not from workers and users.
-    pub fn isolate(&self, n: usize) {
-        self.endpoints[n].set(Fault::Cut);
-        self.set_peers_cut(n, true);
+    /// Cuts a controller off from the store and its peers, but not from workers and users.
+    pub fn isolate(&self, controller: usize) {
+        self.store_endpoints[controller].set(Fault::Cut);
+        self.set_peers_cut(controller, true);
     }
 
     /// Ends [`TestCluster::isolate`].
-    pub fn end_isolation(&self, n: usize) {
-        self.endpoints[n].set(Fault::None);
-        self.set_peers_cut(n, false);
+    pub fn end_isolation(&self, controller: usize) {
+        self.store_endpoints[controller].set(Fault::None);
+        self.set_peers_cut(controller, false);
     }
 
-    fn set_peers_cut(&self, n: usize, cut: bool) {
+    fn set_peers_cut(&self, controller: usize, cut: bool) {
         for (from, to, proxy) in &self.proxies {
-            if *from == n || *to == n {
+            if *from == controller || *to == controller {
                 proxy.set_cut(cut);
             }
         }
     }
 
-    /// Ends the fault between a controller and the store, and waits until it is ready.
-    pub fn restore_store_access(&self, n: usize) {
-        self.endpoints[n].set(Fault::None);
-        self.wait_ready(n);
+    /// Removes the fault between a controller and the store, and waits until the controller is
+    /// ready.
+    pub fn restore_store_access(&self, controller: usize) {
+        self.store_endpoints[controller].set(Fault::None);
+        self.wait_ready(controller);
     }
 
     /// Sets a fault between every controller and the store.
-    pub fn set_all(&self, fault: Fault) {
-        for endpoint in &self.endpoints {
+    pub fn set_store_fault_everywhere(&self, fault: Fault) {
+        for endpoint in &self.store_endpoints {
             endpoint.set(fault);
         }
     }
 
-    /// Sends a request to a controller; returns status and body, status 0 without an answer.
-    pub fn call(&self, n: usize, method: &str, path: &str, body: Option<&[u8]>) -> (u16, Vec<u8>) {
-        let client = Client::new(self.serve_on[n], 0);
+    /// Sends a request to a controller. Returns the status and the body of the response, or
+    /// status 0 if there is none.
+    pub fn call(
+        &self,
+        controller: usize,
+        method: &str,
+        path: &str,
+        body: Option<&[u8]>,
+    ) -> (u16, Vec<u8>) {
+        let client = Client::new(self.serve_on[controller], 0);
         match client.call(method, path, body, Duration::from_secs(5)) {
-            Ok(answer) => (answer.status, answer.body),
+            Ok(response) => (response.status, response.body),
             Err(_) => (0, Vec::new()),
         }
     }
 
     /// Waits until every controller is ready.
     pub fn wait_all_ready(&self) {
-        for n in 0..self.processes.len() {
-            self.wait_ready(n);
+        for controller in 0..self.processes.len() {
+            self.wait_ready(controller);
         }
     }
 
     /// Waits until every shard has a leader.
     pub fn wait_all_shards_led(&self) {
-        wait("every shard has a leader", || {
+        wait_until("every shard has a leader", || {
             self.store.keys("c/part/").len() == self.processes.len()
         });
     }
 
     /// Waits until a controller is ready.
-    pub fn wait_ready(&self, n: usize) {
-        wait("ready", || self.call(n, "GET", "/ready", None).0 == 200);
+    pub fn wait_ready(&self, controller: usize) {
+        wait_until("the controller is ready", || {
+            self.call(controller, "GET", "/ready", None).0 == 200
+        });
     }
 
-    /// Submits a job, whose tasks run for `run`, until it is accepted, each time to the next
-    /// controller.
-    pub fn submit(&self, spec: &JobSpec, run: Duration) {
-        self.invariants.expect_job(spec.clone(), run);
+    /// Submits a job whose tasks run for `run_time`, to one controller after the other, until it
+    /// is accepted.
+    pub fn submit(&self, spec: &JobSpec, run_time: Duration) {
+        self.invariants.expect_job(spec.clone(), run_time);
         let body = cbor::encode(spec);
-        let mut n = 0;
-        wait("accepted", || {
-            n += 1;
-            let (status, _) = self.call(n % self.processes.len(), "POST", "/v2/runs", Some(&body));
+        let mut attempt = 0;
+        wait_until("the job is accepted", || {
+            attempt += 1;
+            let (status, _) = self.call(
+                attempt % self.processes.len(),
+                "POST",
+                "/v2/runs",
+                Some(&body),
+            );
             assert!(!(400..500).contains(&status) || status == 429, "{status}");
             status == 200 || status == 201
         });
     }
 
     /// Submits jobs one after the other.
-    pub fn submit_all(&self, specs: &[JobSpec], run: Duration) {
+    pub fn submit_all(&self, specs: &[JobSpec], run_time: Duration) {
         for spec in specs {
-            self.submit(spec, run);
+            self.submit(spec, run_time);
         }
     }
 
-    /// Whether a controller refuses a submission for now, with 429 or 503.
-    pub fn refuses(&self, n: usize, spec: &JobSpec) -> bool {
+    /// Whether a controller refuses a submission temporarily, with 429 or 503.
+    pub fn refuses(&self, controller: usize, spec: &JobSpec) -> bool {
         let body = cbor::encode(spec);
-        let (status, _) = self.call(n, "POST", "/v2/runs", Some(&body));
+        let (status, _) = self.call(controller, "POST", "/v2/runs", Some(&body));
         status == 503 || status == 429
     }
 
-    /// Cancels a job through one controller, repeating until it answers 200.
-    pub fn cancel(&self, n: usize, id: &JobId) {
+    /// Cancels a job through one controller, and repeats the request until the response is 200.
+    pub fn cancel(&self, controller: usize, id: &JobId) {
         let path = format!("/v2/runs/{id}/cancel");
-        wait("cancelled", || self.call(n, "POST", &path, None).0 == 200);
+        wait_until("the job is cancelled", || {
+            self.call(controller, "POST", &path, None).0 == 200
+        });
     }
 
-    /// Waits until no task of a job runs; from then on none may be launched.
-    pub fn wait_gone(&self, id: &JobId) {
-        wait("gone", || self.invariants.running(id) == 0);
+    /// Waits until no task of a job runs. From then on, a launch of one violates an invariant.
+    pub fn wait_stopped(&self, id: &JobId) {
+        wait_until("no task of the job runs", || {
+            self.invariants.running(id) == 0
+        });
         self.invariants.note_ended(id);
     }
 
-    /// Waits until a controller answers with this status of a job.
-    pub fn wait_status(&self, n: usize, id: &JobId, status: JobStatus) {
-        wait("status", || self.status(n, id) == Some(status));
+    /// Waits until a controller responds with this status of a job.
+    pub fn wait_status(&self, controller: usize, id: &JobId, status: JobStatus) {
+        wait_until("the job has the expected status", || {
+            self.status(controller, id) == Some(status)
+        });
     }
 
-    /// Waits until each controller has answered with this status of a job.
+    /// Waits until each controller has responded with this status of a job.
     pub fn wait_status_everywhere(&self, id: &JobId, status: JobStatus) {
-        for n in 0..self.processes.len() {
-            self.wait_status(n, id, status);
+        for controller in 0..self.processes.len() {
+            self.wait_status(controller, id, status);
         }
     }
 
-    /// The first machine that runs tasks of a job.
+    /// The first machine, by id, that runs tasks of a job.
     pub fn first_machine_of(&self, id: &JobId) -> MachineId {
         let machines = self.invariants.machines_of(id);
         machines.into_iter().next().unwrap()
     }
 
-    /// The status of an accepted job as a controller answers it; `None` if it answers with an
-    /// error or not at all.
-    pub fn status(&self, n: usize, id: &JobId) -> Option<JobStatus> {
-        let (status, body) = self.call(n, "GET", &format!("/v2/runs/{id}"), None);
-        assert_ne!(status, 404, "an accepted job was forgotten");
+    /// The status of an accepted job according to a controller, or `None` if its response is an
+    /// error or is missing.
+    pub fn status(&self, controller: usize, id: &JobId) -> Option<JobStatus> {
+        let (status, body) = self.call(controller, "GET", &format!("/v2/runs/{id}"), None);
+        assert_ne!(status, 404, "an accepted job is unknown");
         (status == 200).then(|| cbor::decode::<JobAnswer>(&body).unwrap().status)
     }
 
@@ -488,48 +518,52 @@
         }
     }
 
-    /// Waits until a controller answers that a job is done, and checks that it is.
+    /// Waits until a controller responds that a job is done, and checks that all its tasks are.
     pub fn wait_done(&self, id: &JobId) {
-        wait("done", || {
-            (0..self.processes.len()).any(|n| {
-                let answered_done = self.status(n, id) == Some(JobStatus::Done);
+        wait_until("the job is done", || {
+            (0..self.processes.len()).any(|controller| {
+                let reported_done = self.status(controller, id) == Some(JobStatus::Done);
                 assert!(
-                    !answered_done || self.invariants.is_done(id),
-                    "answered as done too early"
+                    !reported_done || self.invariants.is_done(id),
+                    "a controller reported the job as done before its tasks were"
                 );
-                answered_done
+                reported_done
             })
         });
     }
 
-    /// Submits a job of long tasks and waits until some task of it runs.
+    /// Submits a job of long tasks and waits until at least one of them runs.
     pub fn submit_and_wait_running(&self, spec: &JobSpec) {
-        self.submit(spec, LONG);
-        wait("running", || self.invariants.running(&spec.id) > 0);
+        self.submit(spec, LONG_RUN);
+        wait_until("a task of the job runs", || {
+            self.invariants.running(&spec.id) > 0
+        });
     }
 
     /// Submits a job of long tasks and waits until all its tasks run.
     pub fn submit_and_wait_all_running(&self, spec: &JobSpec) {
-        self.submit(spec, LONG);
+        self.submit(spec, LONG_RUN);
         let tasks = spec.tasks as usize;
-        wait("all run", || self.invariants.running(&spec.id) == tasks);
+        wait_until("all tasks of the job run", || {
+            self.invariants.running(&spec.id) == tasks
+        });
     }
 
     /// Submits a job of short tasks and waits until it is done.
     pub fn submit_and_wait_done(&self, spec: &JobSpec) {
-        self.submit(spec, SHORT);
+        self.submit(spec, SHORT_RUN);
         self.wait_done(&spec.id);
     }
 
-    /// Fails if the invariant checker saw a broken rule.
-    pub fn finish(&self) {
+    /// Panics if an invariant was violated.
+    pub fn assert_invariants(&self) {
         assert_eq!(self.invariants.broken(), Vec::<String>::new());
     }
 }
 
-/// An array job, of whose tasks two fit on a machine.
-pub fn job(n: u64, tasks: u32) -> JobSpec {
-    let id = JobId::parse(&format!("j-{n:06}")).unwrap();
+/// An array job with small tasks, two of which fit on a machine.
+pub fn job(number: u64, tasks: u32) -> JobSpec {
+    let id = JobId::parse(&format!("j-{number:06}")).unwrap();
     JobSpec {
         cpus: Amount(2.0),
         memory_gb: Amount(4.0),
@@ -542,15 +576,15 @@
     }
 }
 
-/// A service with these replicas, of which two fit on a machine.
-pub fn service(n: u64, tasks: u32) -> JobSpec {
+/// A service with this number of replicas, two of which fit on a machine.
+pub fn service(number: u64, tasks: u32) -> JobSpec {
     JobSpec {
         shape: Shape::Service,
-        ..job(n, tasks)
+        ..job(number, tasks)
     }
 }
 
 /// Run time of short tasks.
-pub const SHORT: Duration = Duration::from_millis(300);
+pub const SHORT_RUN: Duration = Duration::from_millis(300);
 /// Run time of long tasks.
-pub const LONG: Duration = Duration::from_secs(4);
+pub const LONG_RUN: Duration = Duration::from_secs(4);
--- a/crates/pulleywood-controller/tests/failures.rs
+++ b/crates/pulleywood-controller/tests/failures.rs
@@ -1,9 +1,9 @@
-//! Controllers that are killed, cut off from the store or their peers, or whose messages are
-//! lost, late or repeated.
+//! Single faults: controllers are killed or cut off from the store or their peers, and messages
+//! are lost, delayed or repeated.
 
 mod cluster;
 
-use cluster::{CONTROLLERS, LONG, SHORT, TestCluster, job, service, wait};
+use cluster::{CONTROLLERS, LONG_RUN, SHORT_RUN, TestCluster, job, service, wait_until};
 use pulleywood_protocol::cbor::{self, Amount};
 use pulleywood_protocol::job::{JobAnswer, JobStatus};
 use pulleywood_protocol::{JobSpec, Shape};
@@ -44,7 +44,7 @@
         Option<&'static [u8]>,
         u16,
     );
-    let raw: [RawRequest; 9] = [
+    let raw_requests: [RawRequest; 9] = [
         ("not CBOR", "POST", "/v2/runs", Some(b"\xff\xff"), 400),
         ("not a map", "POST", "/v2/runs", Some(b"\x01"), 400),
         ("an empty map", "POST", "/v2/runs", Some(b"\xa0"), 400),
@@ -67,23 +67,23 @@
             400,
         ),
     ];
-    for (name, method, path, body, expected) in raw {
+    for (name, method, path, body, expected) in raw_requests {
         assert_eq!(cluster.call(1, method, path, body).0, expected, "{name}");
     }
     cluster.submit_and_wait_done(&valid);
-    // A retry gets the state at any later time, from any controller, and a
-    // job that is done cannot be cancelled.
+    // A repeated submission is answered with the state of the job, at any later time and by any
+    // controller. A job that is done cannot be cancelled.
     let body = cbor::encode(&valid);
-    for n in 0..CONTROLLERS {
+    for controller in 0..CONTROLLERS {
         let cancel = format!("/v2/runs/{}/cancel", valid.id);
         for (path, body) in [("/v2/runs", Some(&body[..])), (&cancel, None)] {
-            let (status, body) = cluster.call(n, "POST", path, body);
+            let (status, body) = cluster.call(controller, "POST", path, body);
             assert_eq!(status, 200);
             let answer: JobAnswer = cbor::decode(&body).unwrap();
             assert_eq!(answer.status, JobStatus::Done);
         }
     }
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -92,13 +92,13 @@
         let cluster = TestCluster::new(0.0);
         let first = job(1, 4);
         cluster.submit_and_wait_running(&first);
-        cluster.endpoints[0].set(fault);
-        cluster.endpoints[1].set(fault);
+        cluster.store_endpoints[0].set(fault);
+        cluster.store_endpoints[1].set(fault);
         let second = job(2, 2);
         cluster.submit_and_wait_done(&second);
-        cluster.set_all(Fault::None);
+        cluster.set_store_fault_everywhere(Fault::None);
         cluster.wait_done(&first.id);
-        cluster.finish();
+        cluster.assert_invariants();
     }
 }
 
@@ -107,12 +107,12 @@
     let mut cluster = TestCluster::new(0.0);
     let spec = job(1, 8);
     cluster.submit_and_wait_all_running(&spec);
-    // A worker is cut off while its tasks run on, and all controllers are killed.
+    // A worker is cut off while its tasks continue to run, and all controllers are restarted.
     let machine = cluster.first_machine_of(&spec.id);
     cluster.cloud.worker(&machine).unwrap().set_cut(true);
     cluster.restart_all();
     cluster.wait_done(&spec.id);
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -121,12 +121,12 @@
         let cluster = TestCluster::new(0.0);
         let spec = job(1, 6);
         cluster.submit_and_wait_running(&spec);
-        cluster.endpoints[0].set(fault);
+        cluster.store_endpoints[0].set(fault);
         cluster.wait_done(&spec.id);
         cluster.restore_store_access(0);
         let next = job(2, 2);
         cluster.submit_and_wait_done(&next);
-        cluster.finish();
+        cluster.assert_invariants();
     }
 }
 
@@ -136,15 +136,15 @@
         let cluster = TestCluster::new(0.0);
         let spec = service(1, 4);
         cluster.submit_and_wait_all_running(&spec);
-        cluster.endpoints[leader].set(Fault::Cut);
+        cluster.store_endpoints[leader].set(Fault::Cut);
         let other = (leader + 1) % CONTROLLERS;
         cluster.cancel(other, &spec.id);
-        cluster.wait_gone(&spec.id);
+        cluster.wait_stopped(&spec.id);
         cluster.restore_store_access(leader);
         let next = job(2, 2);
         cluster.submit_and_wait_done(&next);
         cluster.wait_status_everywhere(&spec.id, JobStatus::Cancelled);
-        cluster.finish();
+        cluster.assert_invariants();
     }
 }
 
@@ -152,18 +152,18 @@
 fn accepted_jobs_survive_a_restart_of_all_controllers_during_a_store_outage() {
     let mut cluster = TestCluster::new(0.0);
     let specs: Vec<JobSpec> = (1..=3).map(|n| job(n, 3)).collect();
-    cluster.submit_all(&specs, LONG);
-    cluster.set_all(Fault::Refuse);
-    // Submissions are refused at once.
+    cluster.submit_all(&specs, LONG_RUN);
+    cluster.set_store_fault_everywhere(Fault::Refuse);
+    // Submissions are refused without delay.
     let refused = job(9, 1);
-    wait("refused", || {
+    wait_until("all controllers refuse submissions", || {
         (0..CONTROLLERS).all(|n| cluster.refuses(n, &refused))
     });
     cluster.restart_all();
     cluster.store.extend_leases();
-    cluster.set_all(Fault::None);
+    cluster.set_store_fault_everywhere(Fault::None);
     cluster.wait_all_done(&specs);
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -171,12 +171,12 @@
     let mut cluster = TestCluster::new(3.0);
     let specs: Vec<JobSpec> = (1..=4).map(|n| job(n, 3)).collect();
     cluster.submit_all(&specs, Duration::from_secs(1));
-    wait("running", || {
+    wait_until("a task of any job runs", || {
         specs.iter().any(|s| cluster.invariants.running(&s.id) > 0)
     });
     cluster.kill(0);
-    cluster.endpoints[1].set(Fault::Cut);
-    wait("another start", || {
+    cluster.store_endpoints[1].set(Fault::Cut);
+    wait_until("more than four tasks have been started", || {
         specs
             .iter()
             .map(|s| cluster.invariants.starts(&s.id))
@@ -184,10 +184,10 @@
             > 4
     });
     cluster.start(0);
-    cluster.endpoints[1].set(Fault::None);
+    cluster.store_endpoints[1].set(Fault::None);
     cluster.wait_all_done(&specs);
     assert!(!cluster.store.keys("c/grant/").is_empty());
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -195,21 +195,22 @@
     let mut cluster = TestCluster::with_write_rate(0.0, 12.0);
     let jobs: Vec<JobSpec> = (1..=24).map(|n| job(n, 1)).collect();
     let services: Vec<JobSpec> = (101..=106).map(|n| service(n, 1)).collect();
-    // Users submit concurrently, each to one controller after the other.
+    // Users submit concurrently, each to one controller after the other until one accepts.
     std::thread::scope(|scope| {
         for spec in jobs.iter().chain(&services) {
             let cluster = &cluster;
-            scope.spawn(move || cluster.submit(spec, SHORT));
+            scope.spawn(move || cluster.submit(spec, SHORT_RUN));
         }
     });
     assert!(
         !cluster.store.keys("c/pack/").is_empty(),
         "no job batch was written"
     );
-    // A repeated submission finds the job in its batch or record, and is not accepted twice.
+    // A repeated submission finds the job in its batch or its own record and is not accepted a
+    // second time.
     for spec in jobs.iter().chain(&services) {
         let body = cbor::encode(spec);
-        wait("known", || {
+        wait_until("the job is known", || {
             let (status, _) = cluster.call(1, "POST", "/v2/runs", Some(&body));
             assert!(status == 200 || status == 429 || status == 503, "{status}");
             status == 200
@@ -221,36 +222,38 @@
     }
     cluster.wait_all_done(&jobs);
     for spec in &services {
-        wait("gone", || cluster.invariants.running(&spec.id) == 0);
+        wait_until("no task of the service runs", || {
+            cluster.invariants.running(&spec.id) == 0
+        });
         cluster.wait_status_everywhere(&spec.id, JobStatus::Cancelled);
     }
-    wait("no job is left in a job batch", || {
+    wait_until("no job batch is left", || {
         cluster.store.keys("c/pack/").is_empty()
     });
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
-fn tasks_of_an_inbound_partitioned_machine_run_elsewhere_and_it_is_used_again() {
+fn tasks_of_an_inbound_partitioned_machine_are_replaced_and_it_is_used_again() {
     let cluster = TestCluster::new(0.0);
     let spec = service(1, 4);
     cluster.submit_and_wait_all_running(&spec);
     let partitioned = cluster.first_machine_of(&spec.id);
     let worker = cluster.cloud.worker(&partitioned).unwrap();
     worker.set_inbound_partitioned(true);
-    wait("they run elsewhere", || {
+    wait_until("all tasks run on other machines", || {
         cluster.invariants.running(&spec.id) == 4
             && !cluster
                 .invariants
                 .machines_of(&spec.id)
                 .contains(&partitioned)
     });
-    // It gets no launches while it is partitioned, and gets work again afterwards.
-    let more = job(2, 6);
-    cluster.submit(&more, SHORT);
+    // The machine gets no launches while it is partitioned, and is used again afterwards.
+    let next = job(2, 6);
+    cluster.submit(&next, SHORT_RUN);
     worker.set_inbound_partitioned(false);
-    cluster.wait_done(&more.id);
-    cluster.finish();
+    cluster.wait_done(&next.id);
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -263,7 +266,8 @@
         .iter()
         .map(|m| cluster.cloud.worker(m).unwrap())
         .collect();
-    // To leaders, to other controllers, and to new leaders that know no sequence numbers yet.
+    // The copies reach leaders, other controllers, and new leaders that know no sequence numbers
+    // yet.
     for round in 0..3 {
         for worker in &workers {
             worker.resend_heartbeats();
@@ -279,7 +283,7 @@
     let next = job(2, 4);
     cluster.submit_and_wait_done(&next);
     cluster.wait_status_everywhere(&spec.id, JobStatus::Done);
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -291,14 +295,16 @@
         cluster.isolate(leader);
         let other = (leader + 1) % CONTROLLERS;
         cluster.cancel(other, &service.id);
-        cluster.wait_gone(&service.id);
-        // Its users are told at once to retry.
+        cluster.wait_stopped(&service.id);
+        // The isolated controller tells users without delay to retry.
         let refused = job(9, 1);
-        wait("refused", || cluster.refuses(leader, &refused));
+        wait_until("the isolated controller refuses submissions", || {
+            cluster.refuses(leader, &refused)
+        });
         let next = job(2, 4);
-        cluster.invariants.expect_job(next.clone(), SHORT);
+        cluster.invariants.expect_job(next.clone(), SHORT_RUN);
         let body = cbor::encode(&next);
-        wait("accepted elsewhere", || {
+        wait_until("another controller accepts the job", || {
             let (status, _) = cluster.call(other, "POST", "/v2/runs", Some(&body));
             status == 200 || status == 201
         });
@@ -306,93 +312,95 @@
         cluster.end_isolation(leader);
         cluster.wait_ready(leader);
         cluster.wait_status(leader, &service.id, JobStatus::Cancelled);
-        cluster.finish();
+        cluster.assert_invariants();
     }
 }
 
 #[test]
-fn controllers_that_restart_at_once_lead_no_shard_twice() {
-    // Transactions of the killed processes are still under way.
+fn immediately_restarted_controllers_lead_no_shard_twice() {
+    // Transactions of the killed processes are applied after the restart.
     let mut cluster = TestCluster::new(4.0);
     let specs: Vec<JobSpec> = (1..=4).map(|n| job(n, 3)).collect();
     cluster.submit_all(&specs, Duration::from_secs(1));
     for round in 0..6 {
-        let n = round % CONTROLLERS;
-        cluster.endpoints[n].set(Fault::Late(700));
-        cluster.restart(n);
-        cluster.restart(n);
-        cluster.endpoints[n].set(Fault::None);
+        let controller = round % CONTROLLERS;
+        cluster.store_endpoints[controller].set(Fault::Late(700));
+        cluster.restart(controller);
+        cluster.restart(controller);
+        cluster.store_endpoints[controller].set(Fault::None);
     }
     cluster.wait_all_done(&specs);
     cluster.wait_all_ready();
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
 fn many_status_requests_share_few_store_reads() {
-    // After an outage all users ask at once, at all controllers. One read for each request
-    // would use up the controllers' shares of the store's rate.
+    // After an outage all users poll all controllers at the same time. One read per request would
+    // exhaust the controllers' shares of the store's rate.
     let mut cluster = TestCluster::new(0.0);
     let specs: Vec<JobSpec> = (1..=40).map(|n| service(n, 1)).collect();
-    cluster.submit_all(&specs, LONG);
-    cluster.set_all(Fault::Refuse);
+    cluster.submit_all(&specs, LONG_RUN);
+    cluster.set_store_fault_everywhere(Fault::Refuse);
     cluster.restart_all();
     cluster.store.extend_leases();
-    cluster.set_all(Fault::None);
+    cluster.set_store_fault_everywhere(Fault::None);
     cluster.wait_all_ready();
-    let before = cluster.store.reads();
+    let reads_before = cluster.store.reads();
     std::thread::scope(|scope| {
         for spec in &specs {
-            for n in 0..CONTROLLERS {
+            for controller in 0..CONTROLLERS {
                 let cluster = &cluster;
                 scope.spawn(move || {
-                    wait("answered", || cluster.status(n, &spec.id).is_some());
+                    wait_until("the controller responds with a status", || {
+                        cluster.status(controller, &spec.id).is_some()
+                    });
                 });
             }
         }
     });
-    let reads = cluster.store.reads() - before;
+    let reads = cluster.store.reads() - reads_before;
     let requests = (specs.len() * CONTROLLERS) as u64;
     assert!(
         reads < requests / 2,
         "{reads} reads for {requests} requests"
     );
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
-fn transactions_applied_after_newer_ones_break_no_rule() {
-    // Quota changes, done batches, transfers, final states and failovers are applied seconds
-    // late.
+fn transactions_applied_after_newer_ones_violate_no_invariant() {
+    // Transactions of quota changes, done batches, transfers, final states and failovers are
+    // applied seconds late.
     let mut cluster = TestCluster::new(4.0);
     let specs: Vec<JobSpec> = (1..=6).map(|n| job(n, 3)).collect();
     let service = service(7, 2);
-    cluster.submit(&service, LONG);
-    cluster.set_all(Fault::SomeLate(2500));
-    cluster.submit_all(&specs, SHORT);
+    cluster.submit(&service, LONG_RUN);
+    cluster.set_store_fault_everywhere(Fault::SomeLate(2500));
+    cluster.submit_all(&specs, SHORT_RUN);
     cluster.restart(1);
     cluster.cancel(2, &service.id);
-    cluster.wait_gone(&service.id);
-    cluster.set_all(Fault::None);
+    cluster.wait_stopped(&service.id);
+    cluster.set_store_fault_everywhere(Fault::None);
     cluster.wait_all_done(&specs);
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
-fn tasks_that_end_across_failovers_are_done_once() {
-    // The team's limit lets one task run at a time, and all controllers restart in between:
-    // the done tasks are those committed and those in workers' heartbeats.
+fn tasks_that_end_across_failovers_are_counted_once() {
+    // The team's limit allows one running task, and all controllers restart after each start.
+    // Done tasks are known from committed records and from workers' heartbeats.
     let mut cluster = TestCluster::new(1.0);
     let spec = job(1, 3);
     cluster.submit(&spec, Duration::from_secs(2));
     for ended in 1..=2 {
-        wait("the next one runs", || {
+        wait_until("the next task has been started", || {
             cluster.invariants.starts(&spec.id) > ended
         });
         cluster.restart_all();
     }
     cluster.wait_done(&spec.id);
-    cluster.finish();
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -420,12 +428,12 @@
         for _ in 0..2 {
             cluster.restart_one_by_one();
         }
-        let more = job(2, 4);
-        cluster.submit(&more, SHORT);
+        let next = job(2, 4);
+        cluster.submit(&next, SHORT_RUN);
         set_fault(false);
         cluster.wait_done(&spec.id);
-        cluster.wait_done(&more.id);
-        cluster.finish();
+        cluster.wait_done(&next.id);
+        cluster.assert_invariants();
     }
 }
 
@@ -433,7 +441,7 @@
 fn final_states_are_read_once_by_each_controller() {
     let cluster = TestCluster::new(0.0);
     let specs: Vec<JobSpec> = (1..=8).map(|n| job(n, 1)).collect();
-    cluster.submit_all(&specs, SHORT);
+    cluster.submit_all(&specs, SHORT_RUN);
     cluster.wait_all_done(&specs);
     let read_all_statuses = || {
         for spec in &specs {
@@ -441,12 +449,12 @@
         }
     };
     read_all_statuses();
-    let before = cluster.store.reads();
+    let reads_before = cluster.store.reads();
     for _ in 0..5 {
         read_all_statuses();
     }
-    assert_eq!(cluster.store.reads(), before);
-    cluster.finish();
+    assert_eq!(cluster.store.reads(), reads_before);
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -454,38 +462,40 @@
     let cluster = TestCluster::new(0.0);
     let (ended, cancelled) = (job(1, 2), job(2, 2));
     for spec in [&ended, &cancelled] {
-        cluster.submit(spec, SHORT);
+        cluster.submit(spec, SHORT_RUN);
     }
-    let cancel = |n: usize, spec: &JobSpec| {
+    let cancel = |controller: usize, spec: &JobSpec| {
         let path = format!("/v2/runs/{}/cancel", spec.id);
-        let (status, body) = cluster.call(n, "POST", &path, None);
+        let (status, body) = cluster.call(controller, "POST", &path, None);
         (status == 200).then(|| cbor::decode::<JobAnswer>(&body).unwrap().status)
     };
     let mut final_status = None;
-    wait("cancelled or done", || {
+    wait_until("the job is cancelled or done", || {
         final_status = cancel(0, &cancelled);
         final_status.is_some()
     });
     cluster.wait_done(&ended.id);
     let starts = cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
-    for n in 0..CONTROLLERS {
+    for controller in 0..CONTROLLERS {
         for (spec, status) in [
             (&ended, JobStatus::Done),
             (&cancelled, final_status.unwrap()),
         ] {
             let body = cbor::encode(spec);
-            wait("submitted again", || {
-                let (code, body) = cluster.call(n, "POST", "/v2/runs", Some(&body));
-                assert_ne!(code, 201, "accepted twice");
+            wait_until("the repeated submission gets the final status", || {
+                let (code, body) = cluster.call(controller, "POST", "/v2/runs", Some(&body));
+                assert_ne!(code, 201, "the job was accepted twice");
                 code == 200 && cbor::decode::<JobAnswer>(&body).unwrap().status == status
             });
-            wait("cancelled again", || cancel(n, spec) == Some(status));
+            wait_until("the repeated cancellation gets the final status", || {
+                cancel(controller, spec) == Some(status)
+            });
         }
-        let unknown = cluster.call(n, "GET", "/v2/runs/j-999999", None).0;
+        let unknown = cluster.call(controller, "GET", "/v2/runs/j-999999", None).0;
         assert_eq!(unknown, 404);
     }
     let starts_after =
         cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
     assert_eq!(starts_after, starts);
-    cluster.finish();
+    cluster.assert_invariants();
 }
--- a/crates/pulleywood-controller/tests/settings.rs
+++ b/crates/pulleywood-controller/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings, the policy script and the command line: errors name the invalid key.
+//! Settings, policy scripts and the command line: each error names the invalid key or option.
 
 use pulleywood_controller::policy::{self, OperatorPolicy};
 use pulleywood_controller::settings;
@@ -56,7 +56,8 @@
             json!(3),
             "cluster.resources.max_sockets",
         ),
-        // No room for the peers and one worker, for the stacks, for threads.
+        // Too few sockets for the peers and one worker, too little memory for the stacks of
+        // threads, too few threads.
         (
             "/cluster/resources/max_sockets",
             json!(40),
@@ -85,24 +86,24 @@
             "cluster.state.write_rps",
         ),
     ];
-    for (path, value, named) in cases {
+    for (path, value, expected) in cases {
         let mut settings = valid_settings();
         *settings.pointer_mut(path).unwrap() = value;
-        let invalid = settings::parse(&settings.to_string(), "x.json").unwrap_err();
-        let text = invalid.to_string();
+        let error = settings::parse(&settings.to_string(), "x.json").unwrap_err();
+        let text = error.to_string();
         assert!(
-            text.starts_with("x.json: ") && text.contains(named),
+            text.starts_with("x.json: ") && text.contains(expected),
             "{text}"
         );
     }
 }
 
 #[test]
-fn a_policy_script_sets_levers_and_rejects_anything_else() {
+fn a_policy_script_changes_settings_and_rejects_anything_else() {
     let settings = settings::parse(&valid_settings().to_string(), "x.json").unwrap();
     let defaults = Policy::defaults(&settings);
-    let before = || OperatorPolicy::defaults(&settings);
-    let run = |text: &str| policy::run(text, "p.lua", &settings, before()).map(|p| p.scheduler);
+    let base = || OperatorPolicy::defaults(&settings);
+    let run = |text: &str| policy::run(text, "p.lua", &settings, base()).map(|p| p.scheduler);
     assert_eq!(run("return {}").unwrap(), defaults);
     let policy = run("return { cushion = defaults.cushion * 2, weights = { [teams[1]] = 3 } }");
     let policy = policy.unwrap();
@@ -126,9 +127,9 @@
         ("return os.getenv('HOME')", "os"),
         ("return load('return {}')()", "load"),
     ];
-    for (text, named) in invalid {
+    for (text, expected) in invalid {
         let error = run(text).expect_err(text).to_string();
-        assert!(error.contains(named), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
@@ -137,10 +138,10 @@
     let settings = settings::parse(&valid_settings().to_string(), "x.json").unwrap();
     let defaults = OperatorPolicy::defaults(&settings);
     assert_eq!(defaults.recovery, None);
-    let run = |text: &str, before| policy::run(text, "p.lua", &settings, before);
-    let on = run("return { recovery = {} }", defaults.clone()).unwrap();
-    assert_eq!(on.recovery, Some(Default::default()));
-    // A later script changes what an earlier one set, and sees it.
+    let run = |text: &str, base| policy::run(text, "p.lua", &settings, base);
+    let enabled = run("return { recovery = {} }", defaults.clone()).unwrap();
+    assert_eq!(enabled.recovery, Some(Default::default()));
+    // A later script reads and changes the values that a previous one has set.
     let first = run(
         "return { recovery = { audit_slice = 7 } }",
         defaults.clone(),
@@ -171,10 +172,10 @@
         ),
         ("return { weights = { rad = 2 } }", "did you mean `red`"),
     ];
-    for (text, named) in invalid {
+    for (text, expected) in invalid {
         let error = run(text, defaults.clone()).expect_err(text).to_string();
         assert!(error.starts_with("p.lua: "), "{error}");
-        assert!(error.contains(named), "{text}: {error}");
+        assert!(error.contains(expected), "{text}: {error}");
     }
 }
 
