--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -27,7 +27,7 @@
 /// Looks a job up. Another controller may already have answered the user with a newer state
 /// than this one has seen, so any state that is not final is based on a read that began after
 /// the request arrived.
-pub fn lookup(context: &ControllerContext, id: &JobId) -> Result<StoredJob, StoreError> {
+pub fn look_up_job(context: &ControllerContext, id: &JobId) -> Result<StoredJob, StoreError> {
     if let Some(state) = context.finals.lock().get(id) {
         return Ok(StoredJob::Final(state));
     }
@@ -85,16 +85,16 @@
     Ok(state)
 }
 
-/// Responds to a user's request about a job.
-pub fn respond(context: &ControllerContext, id: &JobId, stored: &StoredJob) -> Response {
+/// Builds the response to a user's request about a job.
+pub fn job_response(context: &ControllerContext, id: &JobId, stored: &StoredJob) -> Response {
     match stored {
         StoredJob::Unknown => Response::status(404),
         StoredJob::Final(state) => status_response(id, state.status, state.done, 0),
-        StoredJob::Live(done) => respond_live(context, id, *done),
+        StoredJob::Live(done) => live_job_response(context, id, *done),
     }
 }
 
-/// Builds the response with a job's status and its numbers of done and running tasks.
+/// Encodes a job's status and its numbers of done and running tasks.
 fn status_response(id: &JobId, status: JobStatus, done: u32, running: u32) -> Response {
     let answer = JobAnswer {
         uid: id.clone(),
@@ -105,10 +105,10 @@
     Response::cbor(200, &answer)
 }
 
-/// Responds with the progress of a live job. The numbers of running tasks come from led shards
+/// Builds the response about a live job. The numbers of running tasks come from led shards
 /// and from peers' fresh digests; the number of done tasks comes from a led shard that knows
 /// the job, or else from the store. They are informative only.
-fn respond_live(context: &ControllerContext, id: &JobId, recorded_done: u32) -> Response {
+fn live_job_response(context: &ControllerContext, id: &JobId, recorded_done: u32) -> Response {
     let now = context.clock.now();
     let controller = context.controller.lock();
     let mut done = recorded_done;
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -2,7 +2,7 @@
 //! lead.
 
 use super::cancellations::{CancelOutcome, commit_cancellation};
-use super::job_status::{StoredJob, lookup, respond};
+use super::job_status::{StoredJob, job_response, look_up_job};
 use super::submissions::{accept_batched, accept_unbatched};
 use crate::clock::time_of_day_ms;
 use crate::state::ControllerContext;
@@ -57,8 +57,8 @@
     let Some(id) = JobId::parse(id) else {
         return Response::status(404);
     };
-    match lookup(context, &id) {
-        Ok(stored) => respond(context, &id, &stored),
+    match look_up_job(context, &id) {
+        Ok(stored) => job_response(context, &id, &stored),
         Err(e) => retry_later(&e),
     }
 }
@@ -72,9 +72,9 @@
         return Response::later(503, 1);
     };
     for _ in 0..CANCEL_ATTEMPTS {
-        match lookup(context, &id) {
+        match look_up_job(context, &id) {
             Ok(StoredJob::Live(_)) => {}
-            Ok(stored) => return respond(context, &id, &stored),
+            Ok(stored) => return job_response(context, &id, &stored),
             Err(e) => return retry_later(&e),
         }
         // Leaders are notified directly to hold launches of the job's tasks, since the watch
@@ -85,7 +85,7 @@
             Ok(CancelOutcome::Cancelled(final_state)) => {
                 log::debug!("cancelled job {id}");
                 context.finals.lock().put(&id, final_state.clone());
-                return respond(context, &id, &StoredJob::Final(final_state));
+                return job_response(context, &id, &StoredJob::Final(final_state));
             }
             Ok(CancelOutcome::Conflict) => {}
             Err(e) => {
@@ -136,7 +136,7 @@
     let final_state = context.finals.lock().get(&spec.id);
     if let Some(final_state) = final_state {
         let stored = StoredJob::Final(final_state);
-        return SubmissionDecision::Respond(respond(context, &spec.id, &stored));
+        return SubmissionDecision::Respond(job_response(context, &spec.id, &stored));
     }
     let shard = spec.id.shard(shard_count);
     SubmissionDecision::Accept(spec, shard)
@@ -145,12 +145,12 @@
 /// Refuses a job that can never run. A job that was accepted before, for instance under other
 /// settings, is never refused later.
 fn refuse_unless_known(context: &ControllerContext, id: &JobId, reason: &str) -> Response {
-    match lookup(context, id) {
+    match look_up_job(context, id) {
         Ok(StoredJob::Unknown) => {
             log::info!("refused job {id}: {reason}");
             Response::status(422)
         }
-        Ok(stored) => respond(context, id, &stored),
+        Ok(stored) => job_response(context, id, &stored),
         Err(e) => retry_later(&e),
     }
 }
@@ -215,9 +215,9 @@
             };
             Response::cbor(201, &answer)
         }
-        SubmissionOutcome::Known => match lookup(context, &id) {
+        SubmissionOutcome::Known => match look_up_job(context, &id) {
             Ok(StoredJob::Unknown) => Response::later(503, 1),
-            Ok(stored) => respond(context, &id, &stored),
+            Ok(stored) => job_response(context, &id, &stored),
             Err(e) => retry_later(&e),
         },
         // The job may have been accepted; the user's retry finds the outcome.
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -73,7 +73,7 @@
     LongLivedThread {
         name: "session-lease",
         purpose: "renews the session lease",
-        body: session_lease::renew,
+        body: session_lease::run,
     },
     LongLivedThread {
         name: "leadership",
--- a/crates/pulleywood-controller/src/main.rs
+++ b/crates/pulleywood-controller/src/main.rs
@@ -72,11 +72,11 @@
 fn run(config: &Path, policy_scripts: &[PathBuf], check: bool) -> ExitCode {
     let settings = match settings::load(config) {
         Ok(settings) => settings,
-        Err(e) => return exit_with_invalid_input(&e),
+        Err(e) => return report_invalid_input(&e),
     };
     let policy = match policy::load(policy_scripts, &settings) {
         Ok(policy) => policy,
-        Err(e) => return exit_with_invalid_input(&e),
+        Err(e) => return report_invalid_input(&e),
     };
     if check {
         println!("checked the settings and policy scripts: they can be used");
@@ -96,11 +96,11 @@
 fn inspect(config: &Path, json: bool, ask_workers: bool) -> ExitCode {
     let settings = match settings::load(config) {
         Ok(settings) => settings,
-        Err(e) => return exit_with_invalid_input(&e),
+        Err(e) => return report_invalid_input(&e),
     };
     let report = match inspect::inspect(&settings, ask_workers) {
         Ok(report) => report,
-        Err(e @ InspectError::Address(_)) => return exit_with_invalid_input(&e),
+        Err(e @ InspectError::Address(_)) => return report_invalid_input(&e),
         Err(e) => {
             eprintln!("pulleywood: {e}");
             return ExitCode::from(UNREACHABLE);
@@ -118,7 +118,7 @@
     }
 }
 
-fn exit_with_invalid_input(e: &dyn std::error::Error) -> ExitCode {
+fn report_invalid_input(e: &dyn std::error::Error) -> ExitCode {
     eprintln!("pulleywood: {e}");
     ExitCode::from(INVALID_INPUT)
 }
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -55,7 +55,9 @@
             }
             match peer.ask(&PeerRequest::BorrowWriteTokens, RESPONSE_TIMEOUT) {
                 // Tokens in a lost response are lost, so none is used twice.
-                Ok(PeerResponse::WriteTokens(n)) => context.store.budget().add_writes(n),
+                Ok(PeerResponse::WriteTokens(tokens)) => {
+                    context.store.budget().add_writes(tokens);
+                }
                 Ok(_) => {}
                 Err(e) => log::debug!("failed to borrow write tokens from a peer: {e}"),
             }
--- a/crates/pulleywood-controller/src/policy.rs
+++ b/crates/pulleywood-controller/src/policy.rs
@@ -204,9 +204,11 @@
 
     fn number(&self, key: &str, value: &Value, min: f64, max: f64) -> Result<f64, PolicyError> {
         let number = match value {
-            Value::Integer(n) => *n as f64,
-            Value::Number(n) if n.is_finite() => *n,
-            Value::Number(n) => return self.invalid(key, format!("must be a number, not {n}")),
+            Value::Integer(integer) => *integer as f64,
+            Value::Number(float) if float.is_finite() => *float,
+            Value::Number(float) => {
+                return self.invalid(key, format!("must be a finite number, not {float}"));
+            }
             other => {
                 let problem = format!("must be a number, not of type {}", other.type_name());
                 return self.invalid(key, problem);
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -1,5 +1,5 @@
 //! Handles workers that have seen a fencing token above the stored counter or above their
-//! shard's token. They prove that the store was restored from a state older than that token.
+//! shard's token. Such a token shows that the store was restored from an older state.
 
 use super::Recovery;
 use crate::fencing_token::read_fencing_token_counter;
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -21,7 +21,7 @@
 
 /// Ends the lease of the previous process, then keeps this process's lease renewed. Runs for
 /// the life of the process.
-pub fn renew(context: &Arc<ControllerContext>) {
+pub fn run(context: &Arc<ControllerContext>) {
     end_previous_lease(context);
     loop {
         let delay = match grant_or_renew(context) {
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -190,8 +190,8 @@
     }
 }
 
-/// Keeps the times since when shards have had no leader. Shards that lost their leader since
-/// the replaced state are vacant from now on.
+/// Carries over since when each shard has had no leader. A shard that had a leader in the
+/// replaced state and has none now counts as without a leader since `now`.
 fn keep_vacancy_times(
     controller: &mut ControllerState,
     replaced: &CachedState,
