--- a/crates/pulleywood-controller/tests/cluster/mod.rs
+++ b/crates/pulleywood-controller/tests/cluster/mod.rs
@@ -98,6 +98,11 @@
     crate_dir.join("../../deploy/recovery.lua")
 }
 
+/// Path of the controller executable of this build.
+pub fn program() -> std::path::PathBuf {
+    env!("CARGO_BIN_EXE_pulleywood").into()
+}
+
 /// Member id of a controller.
 fn member_id(controller: usize) -> String {
     format!("c-{controller}")
@@ -182,6 +187,8 @@
     pub serve_on: Vec<SocketAddr>,
     /// Settings file of each controller.
     pub settings_files: Vec<std::path::PathBuf>,
+    /// The executable that each controller runs from its next start on.
+    pub programs: Vec<std::path::PathBuf>,
     /// Process of each controller; `None` if it does not run.
     pub processes: Vec<Option<Child>>,
     /// How long tasks of a cancelled job may still run (`cancel_s` in the settings).
@@ -256,6 +263,7 @@
             proxies: Vec::new(),
             serve_on,
             settings_files: Vec::new(),
+            programs: vec![program(); count],
             processes: Vec::new(),
             cancel_timeout: Duration::from_secs_f64(options.lease_s + 4.0),
             policies: options.policies.clone(),
@@ -305,7 +313,7 @@
 
     /// Starts the process of a controller.
     pub fn start(&mut self, controller: usize) {
-        let child = Command::new(env!("CARGO_BIN_EXE_pulleywood"))
+        let child = Command::new(&self.programs[controller])
             .arg("--config")
             .arg(&self.settings_files[controller])
             .args(
