--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -16,7 +16,8 @@
 
 /// Longest wait of a submission for the commit of its job batch.
 const SUBMISSION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Most attempts to write one job batch; they conflict with the batches of other controllers.
+/// Maximum number of attempts to write one job batch. An attempt fails if another controller
+/// writes a job batch concurrently.
 const MAX_WRITE_ATTEMPTS: u32 = 4;
 /// Writes in the transaction of a job batch: the head and the batch.
 const WRITES_PER_BATCH: u32 = 2;
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -16,8 +16,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Most attempts to cancel a job; they conflict with its leader's records of done tasks.
-const CANCEL_ATTEMPTS: u32 = 4;
+/// Maximum number of attempts to cancel a job. An attempt fails if the job's leader records
+/// done tasks concurrently.
+const MAX_CANCEL_ATTEMPTS: u32 = 4;
 /// Lower bound of `Retry-After` for requests refused for lack of tokens, in seconds.
 const MIN_RETRY_S: f64 = 1.0;
 /// Upper bound of `Retry-After` for requests refused for lack of tokens, in seconds.
@@ -71,7 +72,7 @@
     let Some(shard_count) = shard_count(context) else {
         return Response::later(503, 1);
     };
-    for _ in 0..CANCEL_ATTEMPTS {
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         match look_up_job(context, &id) {
             Ok(StoredJob::Live(_)) => {}
             Ok(stored) => return job_response(context, &id, &stored),
--- a/crates/pulleywood-controller/src/batch_queue.rs
+++ b/crates/pulleywood-controller/src/batch_queue.rs
@@ -39,7 +39,8 @@
 }
 
 impl<T> Mailbox<T> {
-    /// Most items that wait; further ones are dropped, since they would not be taken in time.
+    /// Maximum number of waiting items. Further items are dropped, since they would not be
+    /// taken in time.
     const CAPACITY: usize = 256;
 
     /// Adds an item without waiting. Drops it if the mailbox is full.
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -16,13 +16,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most machines in one rental request.
+/// Maximum number of machines in one rental request.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
-/// Most machines in one release request.
+/// Maximum number of machines in one release request.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
-/// Most attempts to delete the records of machines; they conflict with the leaders' updates of
-/// other records in the same machine batches.
-const DELETE_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts to delete the records of machines. An attempt fails if a leader
+/// updates other records in the same machine batches concurrently.
+const MAX_DELETE_ATTEMPTS: u32 = 3;
 
 /// Outcome of a rental request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -165,7 +165,7 @@
         fleet.recently_released.insert(id.clone(), now);
     }
     fleet.rentals.retain(|r| !machines.contains(&r.machine));
-    for _ in 0..DELETE_ATTEMPTS {
+    for _ in 0..MAX_DELETE_ATTEMPTS {
         match delete_records(context, fleet.lease.revision, machines) {
             DeleteOutcome::Finished => return,
             DeleteOutcome::Retry => {}
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -1,5 +1,5 @@
-//! Requests to peers, the other controllers, in the background: digests, requests for write tokens, and
-//! notices of cancellations.
+//! Background requests to peers, the other controllers: digests, requests for write tokens,
+//! and notices of cancellations.
 
 use crate::state::ControllerContext;
 use pulleywood_protocol::MemberId;
--- a/crates/pulleywood-controller/src/policy.rs
+++ b/crates/pulleywood-controller/src/policy.rs
@@ -26,9 +26,9 @@
     InvalidSetting(String, String, String),
 }
 
-/// Most memory that a script may use, in bytes.
+/// Maximum memory that a script may use, in bytes.
 const MAX_MEMORY_BYTES: usize = 4 << 20;
-/// Most instructions that a script may run.
+/// Maximum number of instructions that a script may run.
 const MAX_INSTRUCTIONS: u32 = 1_000_000;
 
 /// All settings that policy scripts can change.
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -112,12 +112,14 @@
     let (missing, key) = (&finding.missing, &finding.item.path);
     if !missing.can_be_taken_up() {
         tracing::error!(
-            "audit did not load record {key}, which is missing here ({missing:?}): its shard does \
-             not exist"
+            "audit did not load record {key}, which is missing from the controller state \
+             ({missing:?}): its shard does not exist"
         );
         return;
     }
-    tracing::error!("audit started to load record {key}, which is missing here: {missing:?}");
+    tracing::error!(
+        "audit started to load record {key}, which is missing from the controller state: {missing:?}"
+    );
     let now = context.clock.now();
     match missing {
         Missing::JobInView(id) | Missing::Job(_, id) => {
@@ -143,7 +145,7 @@
     if matches!(&stored, Ok(Some(current)) if current.revision == item.revision) {
         return;
     }
-    tracing::info!("audit dropped job {id}: its record changed while it was loaded");
+    tracing::info!("audit dropped job {id}: its record changed or could not be read again");
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     controller.cached.jobs.remove(id);
