--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancels jobs. One transaction deletes a job's live record, or removes the job from its
 //! job batch, and writes its final state.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::job_batch::JobBatchRecord;
 use pulleywood_protocol::record::{
     ChunkRecord, FinalRecord, JobRecord, Key, TaskSet, final_key, job_key,
@@ -99,7 +99,7 @@
     let Some(item) = context.store.get(RequestPriority::User, key)? else {
         return Ok(None);
     };
-    let Some(record) = read::<JobRecord>(Some(&item.value), key) else {
+    let Some(record) = decode_record::<JobRecord>(Some(&item.value), key) else {
         return Ok(None);
     };
     let tasks = record.spec.tasks;
@@ -113,7 +113,8 @@
             .list(RequestPriority::User, &continuation_prefix)?;
         for item in items {
             if let Some(Key::Job(_, _, chunk_index)) = Key::parse(&item.path)
-                && let Some(continuation) = read::<ChunkRecord>(Some(&item.value), &item.path)
+                && let Some(continuation) =
+                    decode_record::<ChunkRecord>(Some(&item.value), &item.path)
             {
                 done.add_chunk(&continuation.done, chunk_index, chunk_size, tasks);
                 transaction = transaction
@@ -150,8 +151,8 @@
     fn apply(self, context: &ControllerContext, id: &JobId, revision: Revision) -> CancelOutcome {
         let now = context.clock.now();
         let mut controller = context.controller.lock();
-        controller.end_job(id, revision);
-        controller.left_job_batches(self.job_batches, revision, now);
+        controller.remove_ended_job(id, revision);
+        controller.put_job_batches(self.job_batches, revision, now);
         CancelOutcome::Cancelled(self.final_state)
     }
 }
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -1,7 +1,7 @@
 //! Responses to users about the status of a job. Each is based on a commit, or on a read
 //! that began after the request arrived. Only final states are cached beyond a request.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::job::JobAnswer;
 use pulleywood_protocol::record::{CLOSED, FinalRecord, before_final_key, closed_job, final_key};
 use pulleywood_protocol::{JobId, JobStatus};
@@ -28,11 +28,11 @@
 /// than this one has seen, so any state that is not final is based on a read that began after
 /// the request arrived.
 pub fn look_up_job(context: &ControllerContext, id: &JobId) -> Result<StoredJob, StoreError> {
-    if let Some(state) = context.finals.lock().get(id) {
+    if let Some(state) = context.final_states.lock().get(id) {
         return Ok(StoredJob::Final(state));
     }
     context.linearizable_reads.wait_for_read()?;
-    if let Some(done) = context.controller.lock().cached.jobs.get(id) {
+    if let Some(done) = context.controller.lock().cached.live_jobs.get(id) {
         return Ok(StoredJob::Live(*done));
     }
     // The job was not live at the time of that read. If it has no final state now either, it
@@ -47,7 +47,7 @@
 /// process started are not delivered by the watch. They are read in pages of consecutive keys:
 /// after a restart every user may poll, and one read per job would exceed the store's rate.
 fn final_state(context: &ControllerContext, id: &JobId) -> Result<Option<FinalRecord>, StoreError> {
-    if let Some(state) = context.finals.lock().get(id) {
+    if let Some(state) = context.final_states.lock().get(id) {
         return Ok(Some(state));
     }
     let key = final_key(id);
@@ -59,12 +59,12 @@
         FINAL_STATES_PER_READ,
     )?;
     let page_covers_key = !page.more || page.items.last().is_some_and(|last| last.path >= key);
-    let mut final_states = context.finals.lock();
+    let mut final_states = context.final_states.lock();
     for item in &page.items {
         if let Some(job) = closed_job(&item.path)
-            && let Some(state) = read(Some(&item.value), &item.path)
+            && let Some(state) = decode_record(Some(&item.value), &item.path)
         {
-            final_states.put(&job, state);
+            final_states.insert(&job, state);
         }
     }
     if let Some(state) = final_states.get(id) {
@@ -78,9 +78,9 @@
     let Some(item) = context.store.get(RequestPriority::Question, &key)? else {
         return Ok(None);
     };
-    let state: Option<FinalRecord> = read(Some(&item.value), &key);
+    let state: Option<FinalRecord> = decode_record(Some(&item.value), &key);
     if let Some(state) = &state {
-        context.finals.lock().put(id, state.clone());
+        context.final_states.lock().insert(id, state.clone());
     }
     Ok(state)
 }
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -82,7 +82,7 @@
 }
 
 /// Accepts one job in a record of its own. The caller has taken the write token. `head` is the
-/// revision of the job batches' head at which the job was not known.
+/// revision of the job batches' head at which the job did not exist.
 pub fn accept_unbatched(
     context: &ControllerContext,
     shard: ShardId,
@@ -108,7 +108,7 @@
         Ok(Err(failed_keys)) if failed_keys.iter().all(|key| key == JOB_BATCH_HEAD) => {
             SubmissionOutcome::Refused(StoreError::Budget(DEFAULT_RETRY_AFTER))
         }
-        Ok(Err(_)) => SubmissionOutcome::Known,
+        Ok(Err(_)) => SubmissionOutcome::AlreadyExists,
         Err(e) => SubmissionOutcome::Refused(e),
     }
 }
@@ -162,7 +162,7 @@
             )
         };
         let outcome = if is_live {
-            SubmissionOutcome::Known
+            SubmissionOutcome::AlreadyExists
         } else {
             accept_unbatched(context, id.shard(shards), record, head)
         };
@@ -186,7 +186,7 @@
     }
     for attempt in 0..MAX_WRITE_ATTEMPTS {
         refresh_job_batches(context);
-        let (head, shards) = report_known(context, &mut waiting);
+        let (head, shards) = report_existing(context, &mut waiting);
         refuse_duplicates(context, &mut waiting);
         if waiting.is_empty() {
             return;
@@ -222,22 +222,24 @@
     }
 }
 
-/// Reports the jobs that are already live as known. Returns the head of the job batches at
-/// which the others are not known, and the number of shards.
-fn report_known(
+/// Reports the jobs that are already live as existing. Returns the head of the job batches at
+/// which the other jobs do not exist, and the number of shards.
+fn report_existing(
     context: &ControllerContext,
     waiting: &mut WaitingSubmissions,
 ) -> (Versioned<BatchHead>, u32) {
-    let (known, head, shards) = {
+    let (existing, head, shards) = {
         let controller = context.controller.lock();
         let live = waiting
             .iter()
             .filter(|(_, w)| controller.is_live(&w.record.spec.id));
-        let known: Vec<u64> = live.map(|(number, _)| *number).collect();
+        let existing: Vec<u64> = live.map(|(number, _)| *number).collect();
         let head = controller.cached.job_batch_head;
-        (known, head, controller.config.shards)
+        (existing, head, controller.config.shards)
     };
-    remove_and_report(context, waiting, known, || SubmissionOutcome::Known);
+    remove_and_report(context, waiting, existing, || {
+        SubmissionOutcome::AlreadyExists
+    });
     (head, shards)
 }
 
@@ -306,7 +308,7 @@
         context
             .controller
             .lock()
-            .wrote_job_batch(self.head, self.batch, revision, now);
+            .put_written_job_batch(self.head, self.batch, revision, now);
         context.work_available.notify_all();
         log::debug!("accepted {} jobs in job batch {number}", waiting.len());
         context
@@ -314,7 +316,7 @@
             .report(waiting.into_keys(), || SubmissionOutcome::Accepted);
     }
 
-    /// Reports the jobs whose own keys made the transaction conflict as known.
+    /// Reports the jobs whose own keys made the transaction conflict as existing.
     fn report_conflicts(
         &self,
         context: &ControllerContext,
@@ -329,11 +331,13 @@
             failed_keys.contains(&final_key(id))
                 || failed_keys.contains(&job_key(id.shard(self.shards), id))
         };
-        let known: Vec<u64> = waiting
+        let existing: Vec<u64> = waiting
             .iter()
             .filter(|(_, w)| exists(&w.record.spec.id))
             .map(|(number, _)| *number)
             .collect();
-        remove_and_report(context, waiting, known, || SubmissionOutcome::Known);
+        remove_and_report(context, waiting, existing, || {
+            SubmissionOutcome::AlreadyExists
+        });
     }
 }
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -78,14 +78,14 @@
             Ok(stored) => return job_response(context, &id, &stored),
             Err(e) => return retry_later(&e),
         }
-        // Leaders are notified directly to hold launches of the job's tasks, since the watch
+        // Leaders are notified directly to suspend launches of the job's tasks, since the watch
         // delivers the transaction later.
-        context.hold_launches(std::slice::from_ref(&id));
-        context.cancelling.post(id.clone());
+        context.suspend_launches(std::slice::from_ref(&id));
+        context.cancellation_notices.post(id.clone());
         match commit_cancellation(context, id.shard(shard_count), &id) {
             Ok(CancelOutcome::Cancelled(final_state)) => {
                 log::debug!("cancelled job {id}");
-                context.finals.lock().put(&id, final_state.clone());
+                context.final_states.lock().insert(&id, final_state.clone());
                 return job_response(context, &id, &StoredJob::Final(final_state));
             }
             Ok(CancelOutcome::Conflict) => {}
@@ -134,7 +134,7 @@
     if let Some(reason) = config.never_runs(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
     }
-    let final_state = context.finals.lock().get(&spec.id);
+    let final_state = context.final_states.lock().get(&spec.id);
     if let Some(final_state) = final_state {
         let stored = StoredJob::Final(final_state);
         return SubmissionDecision::Respond(job_response(context, &spec.id, &stored));
@@ -166,7 +166,7 @@
     let record = context
         .controller
         .lock()
-        .new_job(spec, time_of_day_ms(), now);
+        .new_job_record(spec, time_of_day_ms(), now);
     match commit_unbatched(context, shard, &record) {
         SubmissionOutcome::Refused(e @ StoreError::Budget(_)) => accept_batched(context, record, e),
         outcome => outcome,
@@ -191,7 +191,7 @@
     let head = {
         let controller = context.controller.lock();
         if controller.is_live(&record.spec.id) {
-            return SubmissionOutcome::Known;
+            return SubmissionOutcome::AlreadyExists;
         }
         controller.cached.job_batch_head.revision
     };
@@ -216,7 +216,7 @@
             };
             Response::cbor(201, &answer)
         }
-        SubmissionOutcome::Known => match look_up_job(context, &id) {
+        SubmissionOutcome::AlreadyExists => match look_up_job(context, &id) {
             Ok(StoredJob::Unknown) => Response::later(503, 1),
             Ok(stored) => job_response(context, &id, &stored),
             Err(e) => retry_later(&e),
@@ -226,7 +226,7 @@
             log::debug!("refused job {id}: {e}");
             if matches!(e, StoreError::Budget(_)) {
                 let now = context.clock.now();
-                context.refused.store(now.0, Ordering::Relaxed);
+                context.last_refusal_ms.store(now.0, Ordering::Relaxed);
             }
             retry_later(&e)
         }
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -76,7 +76,7 @@
     }
 
     fn route(&self, heartbeat: &Heartbeat) -> Route {
-        if !self.controller.is_cached {
+        if !self.controller.cache_loaded {
             return Route::Unavailable;
         }
         let cached = &self.controller.cached;
@@ -91,7 +91,7 @@
         if self.led(shard).is_some() && self.controller.may_answer(self.now) {
             return Route::Local(shard);
         }
-        match self.controller.cached.shards.get(&shard) {
+        match self.controller.cached.shard_leaders.get(&shard) {
             Some(holder) if holder.value.member != self.context.controller_id => {
                 self.redirect(&holder.value.member)
             }
@@ -108,7 +108,7 @@
         let shard = controller
             .config
             .shard_for(&heartbeat.machine, &heartbeat.zone);
-        if let Some(holder) = controller.cached.shards.get(&shard)
+        if let Some(holder) = controller.cached.shard_leaders.get(&shard)
             && holder.value.member != self.context.controller_id
             && let Route::Redirect(member) = self.redirect(&holder.value.member)
         {
@@ -117,7 +117,7 @@
         if let Some(shard) = self.registration_shard(shard) {
             return Route::Register(shard);
         }
-        let mut holders = controller.cached.shards.values();
+        let mut holders = controller.cached.shard_leaders.values();
         match holders.find(|h| h.value.member != self.context.controller_id) {
             Some(holder) => self.redirect(&holder.value.member),
             None => Route::Unavailable,
@@ -143,7 +143,7 @@
 
     fn led(&self, shard: ShardId) -> Option<&'a LedShard> {
         let led = self.controller.led_shards.get(&shard);
-        led.filter(|led| led.loaded && !led.leaving)
+        led.filter(|led| led.loaded && !led.handing_over)
     }
 
     /// Redirects to a controller if it is known to be alive. A controller that is cut off from
@@ -153,8 +153,9 @@
     fn redirect(&self, member: &MemberId) -> Route {
         let is_alive = self
             .controller
-            .is_heard(member, self.now, MAX_PEER_DIGEST_AGE);
-        if is_alive && self.now.since(self.controller.caught_up) < MAX_REDIRECT_CACHE_AGE {
+            .has_recent_digest(member, self.now, MAX_PEER_DIGEST_AGE);
+        if is_alive && self.now.since(self.controller.cache_current_as_of) < MAX_REDIRECT_CACHE_AGE
+        {
             Route::Redirect(member.clone())
         } else {
             Route::Unavailable
@@ -176,7 +177,11 @@
         // The worker obeys a newer leader and has to find it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
-                controller.note_fencing_token(&heartbeat.machine, heartbeat.fencing_token, now);
+                controller.note_higher_fencing_token(
+                    &heartbeat.machine,
+                    heartbeat.fencing_token,
+                    now,
+                );
             }
             return Response::later(503, 1);
         }
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::policy::OperatorPolicy;
 use crate::shard::{done_batches, leadership, registration};
-use crate::state::{ControllerContext, ControllerState, Finals};
+use crate::state::{ControllerContext, ControllerState, FinalStateCache};
 use crate::{coordinator, peers, recovery, session_lease, watch};
 use parking_lot::{Condvar, Mutex};
 use pulleywood_protocol::MemberId;
@@ -174,13 +174,13 @@
         work_available: Condvar::new(),
         submissions: Default::default(),
         registrations: Default::default(),
-        cancelling: Default::default(),
+        cancellation_notices: Default::default(),
         linearizable_reads: Default::default(),
         poll_intervals: PollIntervals::new(store_rps),
-        digests_sent: AtomicU64::new(0),
-        refused: AtomicU64::new(0),
+        last_digest_seq: AtomicU64::new(0),
+        last_refusal_ms: AtomicU64::new(0),
         recovery: policy.recovery,
-        finals: Mutex::new(Finals::default()),
+        final_states: Mutex::new(FinalStateCache::default()),
         settings,
     })
 }
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -96,7 +96,7 @@
         let mut controller = context.controller.lock();
         // The needs of a shard without a leader, or with an unknown one, are unknown: their
         // absence is not taken as a lack of demand.
-        let shards = controller.all_shards(now);
+        let shards = controller.fresh_shard_digests(now);
         let config = Arc::clone(&controller.config);
         let records: BTreeMap<MachineId, MachineRecord> = controller
             .cached
@@ -110,7 +110,7 @@
             shards: &shards,
             list: list_is_fresh.then_some(&self.rentals[..]),
             // Refused users will submit again, so idle machines will soon be needed.
-            hold: context.refusing(now) || any_peer_refuses(&controller, now),
+            hold: context.refused_recently(now) || any_peer_refuses(&controller, now),
         };
         drop(controller);
         log::debug!("{}", fleet::summary(&config, &snapshot));
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -32,7 +32,10 @@
         match client.ask(&digest, RESPONSE_TIMEOUT) {
             Ok(PeerResponse::Serving(serving)) => {
                 let now = context.clock.now();
-                context.controller.lock().confirm(peer, sent, now, &serving);
+                context
+                    .controller
+                    .lock()
+                    .apply_served_shards(peer, sent, now, &serving);
             }
             Ok(_) => {}
             Err(e) => log::debug!("failed to send a digest to {peer}: {e}"),
@@ -68,13 +71,13 @@
     }
 }
 
-/// Notifies the leaders of shards about jobs that are being cancelled, so that they hold
+/// Notifies the leaders of shards about jobs that are being cancelled, so that they suspend
 /// launches. The watch delivers a cancellation some tenths of a second later, or not at all
 /// while the store refuses the leader's requests. Best effort. Runs for the life of the
 /// process.
 pub fn notify_cancellations(context: &Arc<ControllerContext>) {
     loop {
-        let jobs = context.cancelling.take_all();
+        let jobs = context.cancellation_notices.take_all();
         for leader in live_leaders(context) {
             if let Some(peer) = context.peers.get(&leader)
                 && let Err(e) = peer.ask(
@@ -92,9 +95,9 @@
 fn live_leaders(context: &ControllerContext) -> BTreeSet<MemberId> {
     let now = context.clock.now();
     let controller = context.controller.lock();
-    let holders = controller.cached.shards.values();
+    let holders = controller.cached.shard_leaders.values();
     let members = holders.map(|holder| holder.value.member.clone());
     members
-        .filter(|member| controller.is_heard(member, now, MAX_DIGEST_AGE))
+        .filter(|member| controller.has_recent_digest(member, now, MAX_DIGEST_AGE))
         .collect()
 }
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -3,7 +3,7 @@
 
 use super::Recovery;
 use crate::state::{
-    ControllerContext, ControllerState, JobEntry, job_entry, read_job_batch, read_machine_batch,
+    ControllerContext, ControllerState, JobEntry, decode_job_batch, decode_machine_batch, job_entry,
 };
 use crate::watch;
 use pulleywood_protocol::record::Key;
@@ -25,7 +25,7 @@
         self.last_audit = now;
         let next_read = {
             let controller = context.controller.lock();
-            if !controller.is_cached || !controller.may_act(now) {
+            if !controller.cache_loaded || !controller.may_act(now) {
                 return Ok(());
             }
             self.audit.next(&*controller)
@@ -83,7 +83,7 @@
     }
 
     fn knows_job(&self, job: &JobId) -> bool {
-        self.cached.jobs.contains_key(job)
+        self.cached.live_jobs.contains_key(job)
     }
 
     fn has_job(&self, shard: ShardId, job: &JobId) -> bool {
@@ -103,9 +103,9 @@
     }
 }
 
-/// Launches of a job that the audit loaded are held for this long, within which its record is
-/// read once more.
-const VERIFICATION_HOLD: Duration = Duration::from_secs(3);
+/// Launches of a job that the audit loaded are suspended for this long, within which its record
+/// is read once more.
+const LAUNCH_SUSPENSION: Duration = Duration::from_secs(3);
 
 /// Loads a record that the audit found missing, in the same way as the watch would.
 fn load_missing(context: &ControllerContext, finding: &Finding) {
@@ -125,7 +125,7 @@
         Missing::JobInView(id) | Missing::Job(_, id) => {
             let mut controller = context.controller.lock();
             controller.load_missing_job(id, &finding.item, now);
-            controller.hold_launches(std::slice::from_ref(id), now + VERIFICATION_HOLD);
+            controller.suspend_launches(std::slice::from_ref(id), now + LAUNCH_SUSPENSION);
             drop(controller);
             drop_if_changed(context, id, &finding.item);
         }
@@ -148,11 +148,11 @@
     tracing::info!("audit dropped job {id}: its record changed or could not be read again");
     let now = context.clock.now();
     let mut controller = context.controller.lock();
-    controller.cached.jobs.remove(id);
+    controller.cached.live_jobs.remove(id);
     let after = Revision(item.revision.0.max(controller.cached.store_revision) + 1);
     let config = Arc::clone(&controller.config);
     for led in controller.led_shards.values_mut().filter(|led| led.loaded) {
-        led.job_event(id, &JobEntry::Gone, after, false, now, &config);
+        led.apply_job_entry(id, &JobEntry::Ended, after, false, now, &config);
     }
 }
 
@@ -162,27 +162,27 @@
     fn load_missing_job(&mut self, id: &JobId, item: &Item, now: MonotonicTime) {
         let entry = match Key::parse(&item.path) {
             Some(Key::JobBatch(_)) => {
-                let batch = read_job_batch(&item.value, &item.path);
+                let batch = decode_job_batch(&item.value, &item.path);
                 let record = batch.and_then(|b| b.jobs.into_iter().find(|j| j.spec.id == *id));
                 record.map(|r| JobEntry::Batched(Box::new(r)))
             }
             _ => job_entry(item).map(|(_, entry)| entry),
         };
         let Some(entry) = entry else { return };
-        if self.wrote_since(id, item.revision) {
+        if self.has_own_write_since(id, item.revision) {
             return;
         }
-        self.cached.jobs.entry(id.clone()).or_insert(0);
+        self.cached.live_jobs.entry(id.clone()).or_insert(0);
         let config = Arc::clone(&self.config);
         for led in self.led_shards.values_mut().filter(|led| led.loaded) {
-            led.job_event(id, &entry, item.revision, true, now, &config);
+            led.apply_job_entry(id, &entry, item.revision, true, now, &config);
         }
     }
 
     /// Adds a machine that was missing from the cached state or from its shard. A previous
     /// leader may have launched tasks on it.
     fn load_missing_machine(&mut self, id: &MachineId, item: &Item, now: MonotonicTime) {
-        let Some(batch) = read_machine_batch(&item.value, &item.path) else {
+        let Some(batch) = decode_machine_batch(&item.value, &item.path) else {
             return;
         };
         let Some(record) = batch.machines.get(id) else {
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Fencing tokens in workers' heartbeats are considered up to this age.
-const MAX_SHOWN_TOKEN_AGE: Duration = Duration::from_secs(60);
+/// A higher fencing token in a worker's heartbeat is considered for this long.
+const MAX_TOKEN_AGE: Duration = Duration::from_secs(60);
 
 impl Recovery {
     /// Raises the fencing-token counter above the tokens that workers have seen, or, if it is
@@ -31,12 +31,12 @@
             let mut controller = context.controller.lock();
             let now = started_at;
             controller
-                .shown_fencing_tokens
-                .retain(|_, shown| now.since(shown.at) < MAX_SHOWN_TOKEN_AGE);
-            if controller.shown_fencing_tokens.is_empty() || !controller.may_act(now) {
+                .higher_fencing_tokens
+                .retain(|_, shown| now.since(shown.at) < MAX_TOKEN_AGE);
+            if controller.higher_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
-            controller.shown_fencing_tokens.clone()
+            controller.higher_fencing_tokens.clone()
         };
         // A machine may have been moved since its heartbeat: its token is compared with that of
         // its present shard.
@@ -61,7 +61,7 @@
                 context
                     .controller
                     .lock()
-                    .shown_fencing_tokens
+                    .higher_fencing_tokens
                     .remove(&machine);
                 Ok(())
             }
@@ -84,7 +84,7 @@
             for (id, shown) in shown.iter().filter(|(_, s)| s.at < started_at) {
                 match controller.shard_behind_token(id, shown.fencing_token) {
                     Some(shard) => outdated.push(shard),
-                    None => drop(controller.shown_fencing_tokens.remove(id)),
+                    None => drop(controller.higher_fencing_tokens.remove(id)),
                 }
             }
         }
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -1,7 +1,7 @@
 //! Grants and renews the session lease of this controller. The leader keys of its shards and
 //! the coordinator lease are attached to it and are deleted when it ends.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::LeaseId;
 use pulleywood_protocol::record::{COORDINATOR_LEASE, LeaseHolder, shard_leader_key};
 use pulleywood_transport::{RequestPriority, StoreError};
@@ -61,7 +61,7 @@
     if granted.is_some() {
         controller.lease.lease_id = granted;
     }
-    controller.lease.renewed = sent;
+    controller.lease.renewed_at = sent;
     Ok(ttl)
 }
 
@@ -75,7 +75,7 @@
 /// Ends the lease of this controller's previous process, which no longer runs, so that its
 /// shards get a leader before that lease expires.
 fn end_previous_lease(context: &ControllerContext) {
-    wait_until_cached(context);
+    wait_until_cache_loaded(context);
     while let Some(key) = key_of_previous_process(context) {
         match end_lease_of(context, &key) {
             Ok(()) => {
@@ -87,14 +87,14 @@
                     "failed to end the session lease of the previous process, found by {key}: {e}"
                 );
                 std::thread::sleep(END_RETRY_DELAY);
-                wait_until_cached(context);
+                wait_until_cache_loaded(context);
             }
         }
     }
 }
 
-fn wait_until_cached(context: &ControllerContext) {
-    while !context.controller.lock().is_cached {
+fn wait_until_cache_loaded(context: &ControllerContext) {
+    while !context.controller.lock().cache_loaded {
         std::thread::sleep(CACHE_CHECK_INTERVAL);
     }
 }
@@ -103,8 +103,8 @@
 fn key_of_previous_process(context: &ControllerContext) -> Option<String> {
     let controller = context.controller.lock();
     let cached = &controller.cached;
-    let mut shards = cached.shards.iter();
-    let shard = shards.find(|(_, holder)| is_previous_process(context, &holder.value));
+    let mut shard_leaders = cached.shard_leaders.iter();
+    let shard = shard_leaders.find(|(_, holder)| is_previous_process(context, &holder.value));
     shard
         .map(|(shard, _)| shard_leader_key(*shard))
         .or_else(|| {
@@ -123,7 +123,7 @@
     let Some(item) = context.store.get(RequestPriority::Lease, key)? else {
         return Ok(());
     };
-    let holder = read::<LeaseHolder>(Some(&item.value), key);
+    let holder = decode_record::<LeaseHolder>(Some(&item.value), key);
     let is_previous = holder.is_some_and(|holder| is_previous_process(context, &holder));
     let lease_id: Option<LeaseId> = item.lease_id.filter(|_| is_previous);
     lease_id.map_or(Ok(()), |lease_id| context.store.end(lease_id))
--- a/crates/pulleywood-controller/src/shard/reconciled.rs
+++ b/crates/pulleywood-controller/src/shard/reconciled.rs
@@ -1,21 +1,21 @@
-//! Recording that a shard's machines are all accounted for.
+//! Recording that all machines of a led shard are accounted for.
 
-use crate::state::{ControllerContext, read};
+use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::record::{PreviousLeaseHolder, previous_leader_key, shard_leader_key};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{FencingToken, Revision, ShardId};
 use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 
-/// The record to write, and the leadership that it belongs to.
+/// The record that is ready to be written, with the leadership it belongs to.
 struct PreparedRecord {
     shard: ShardId,
     fencing_token: FencingToken,
     transaction: Transaction,
 }
 
-/// Records that every machine of the shard is accounted for: the next leader has to wait
-/// for this leader's launches only, not for those of leaders before it.
+/// Records that every machine of the shard is accounted for. The next leader then has to
+/// wait only for tasks launched by this leader, not for those of leaders before it.
 pub fn record_reconciled(context: &ControllerContext, shard: ShardId) -> Result<(), StoreError> {
     let Some(prepared) = prepare(context, shard)? else {
         return Ok(());
@@ -37,7 +37,7 @@
     let Some(item) = context.store.get(RequestPriority::ShardLeader, &key)? else {
         return Ok(None);
     };
-    let Some(stored) = read::<PreviousLeaseHolder>(Some(&item.value), &key) else {
+    let Some(stored) = decode_record::<PreviousLeaseHolder>(Some(&item.value), &key) else {
         return Ok(None);
     };
     let fencing_token = stored.holder.fencing_token;
@@ -69,7 +69,7 @@
         let mut controller = context.controller.lock();
         let led = controller.led_shards.get_mut(&self.shard);
         if let Some(led) = led.filter(|led| led.state.fencing_token == self.fencing_token) {
-            led.reconciled_at = Some(revision);
+            led.reconciled_revision = Some(revision);
         }
     }
 }
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -2,7 +2,8 @@
 //! cancelled jobs.
 
 use crate::state::{
-    CachedState, ControllerContext, ControllerState, read, read_job_batch, read_machine_batch,
+    CachedState, ControllerContext, ControllerState, decode_job_batch, decode_machine_batch,
+    decode_record,
 };
 use pulleywood_protocol::record::{
     FinalRecord, JOB_BATCHES, LIVE, MACHINE_BATCHES, WATCHED, closed_job, job_key,
@@ -23,7 +24,7 @@
 pub fn read_for_users(context: &Arc<ControllerContext>) {
     let reads = &context.linearizable_reads;
     loop {
-        let newest_query = reads.next_read();
+        let newest_query = reads.wait_for_query();
         let result = read_changes(context, RequestPriority::Question, Duration::ZERO);
         if let Err(e) = &result {
             log::debug!("failed to read the changes of the store for users' queries: {e}");
@@ -44,7 +45,7 @@
 ) -> Result<bool, StoreError> {
     let from = {
         let controller = context.controller.lock();
-        if !controller.is_cached {
+        if !controller.cache_loaded {
             return Err(StoreError::TooOld);
         }
         controller.cached.store_revision
@@ -61,11 +62,11 @@
     for event in response.events {
         if event.revision.0 > applied_revision {
             changed = true;
-            controller.event(event, now);
+            controller.apply_event(event, now);
         }
     }
-    controller.complete(response.store_revision, now);
-    controller.caught_up = controller.caught_up.max(sent);
+    controller.advance_revision(response.store_revision, now);
+    controller.cache_current_as_of = controller.cache_current_as_of.max(sent);
     drop(controller);
     if changed {
         context.work_available.notify_all();
@@ -76,13 +77,13 @@
 /// Caches the final states that the watch delivers, so that users' polls of ended jobs need no
 /// read: one read per ended job would exceed the store's rate.
 fn cache_final_states(context: &ControllerContext, events: &[Event]) {
-    let mut final_states = context.finals.lock();
+    let mut final_states = context.final_states.lock();
     for event in events {
         if let Some(path) = &event.write
             && let Some(id) = closed_job(path)
-            && let Some(state) = read::<FinalRecord>(event.value.as_ref(), path)
+            && let Some(state) = decode_record::<FinalRecord>(event.value.as_ref(), path)
         {
-            final_states.put(&id, state);
+            final_states.insert(&id, state);
         }
     }
 }
@@ -117,21 +118,21 @@
     let (items, store_revision) = context.store.list(RequestPriority::ShardLeader, LIVE)?;
     let now = context.clock.now();
     let mut controller = context.controller.lock();
-    let is_first_read = !controller.is_cached;
+    let is_first_read = !controller.cache_loaded;
     let replaced = std::mem::take(&mut controller.cached);
     controller.cached.store_revision = store_revision;
     let missing_jobs = missing_jobs(&controller, &items);
     drop_missing_machines(&mut controller, &items, store_revision);
     for path in missing_jobs {
-        controller.event(delete_event(path, store_revision), now);
+        controller.apply_event(delete_event(path, store_revision), now);
     }
     for item in items {
-        controller.event(write_event(item), now);
+        controller.apply_event(write_event(item), now);
     }
-    controller.complete(store_revision, now);
+    controller.advance_revision(store_revision, now);
     keep_vacancy_times(&mut controller, &replaced, now);
-    controller.is_cached = true;
-    controller.caught_up = controller.caught_up.max(sent);
+    controller.cache_loaded = true;
+    controller.cache_current_as_of = controller.cache_current_as_of.max(sent);
     drop(controller);
     if is_first_read {
         log::info!("read all watched keys of the state service at revision {store_revision}");
@@ -147,7 +148,7 @@
     let batched_jobs: BTreeSet<JobId> = items
         .iter()
         .filter(|i| i.path.starts_with(JOB_BATCHES))
-        .filter_map(|i| read_job_batch(&i.value, &i.path))
+        .filter_map(|i| decode_job_batch(&i.value, &i.path))
         .flat_map(|batch| {
             let unreadable: Vec<JobId> = batch.unreadable_ids().collect();
             let jobs = batch.jobs.into_iter().map(|j| j.spec.id);
@@ -172,7 +173,7 @@
     let stored: BTreeSet<MachineId> = items
         .iter()
         .filter(|i| i.path.starts_with(MACHINE_BATCHES))
-        .filter_map(|i| read_machine_batch(&i.value, &i.path))
+        .filter_map(|i| decode_machine_batch(&i.value, &i.path))
         .flat_map(|batch| {
             let unreadable = batch.unreadable.into_keys();
             batch.machines.into_keys().chain(unreadable)
@@ -199,9 +200,9 @@
 ) {
     let shards = controller.cached.shard_count().unwrap_or(0);
     for shard in (0..shards).map(ShardId) {
-        if !controller.cached.shards.contains_key(&shard) {
-            let since = replaced.free_since.get(&shard).copied().unwrap_or(now);
-            controller.cached.free_since.insert(shard, since);
+        if !controller.cached.shard_leaders.contains_key(&shard) {
+            let since = replaced.vacant_since.get(&shard).copied().unwrap_or(now);
+            controller.cached.vacant_since.insert(shard, since);
         }
     }
 }
