--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -108,9 +108,9 @@
             now,
             records: &records,
             shards: &shards,
-            list: list_is_fresh.then_some(&self.rentals[..]),
+            rentals: list_is_fresh.then_some(&self.rentals[..]),
             // Refused users will submit again, so idle machines will soon be needed.
-            hold: context.refused_recently(now) || any_peer_refuses(&controller, now),
+            suspend_scale_in: context.refused_recently(now) || any_peer_refuses(&controller, now),
         };
         drop(controller);
         log::debug!("{}", fleet::summary(&config, &snapshot));
--- a/crates/pulleywood-controller/src/coordinator/mod.rs
+++ b/crates/pulleywood-controller/src/coordinator/mod.rs
@@ -86,6 +86,6 @@
         rentals::carry_out(context, fleet, action);
     }
     for unmoved in requests::ask_leaders(context, leader_actions, now + ROUND_INTERVAL) {
-        fleet.history.not_moved(&unmoved);
+        fleet.history.cancel_move(&unmoved);
     }
 }
