--- a/crates/pulleywood-controller/src/api/cancellations.rs
+++ b/crates/pulleywood-controller/src/api/cancellations.rs
@@ -68,10 +68,10 @@
         let controller = context.controller.lock();
         let batches = &controller.cached.job_batches;
         let (transaction, job_batches) =
-            batches.take_out(transaction, &BTreeSet::from([id.clone()]));
+            batches.remove_jobs(transaction, &BTreeSet::from([id.clone()]));
         let batched_record = batches.record(id).cloned();
         (
-            controller.config.chunk,
+            controller.config.chunk_tasks,
             batched_record,
             transaction,
             job_batches,
--- a/crates/pulleywood-controller/src/api/health.rs
+++ b/crates/pulleywood-controller/src/api/health.rs
@@ -13,17 +13,17 @@
 /// than the outage.
 pub fn ready(context: &ControllerContext) -> Response {
     let now = context.clock.now();
-    let store_answers = context.store.answers();
+    let store_answers = context.store.is_available();
     let controller = context.controller.lock();
     let started = controller.cache_loaded
         && controller.cached.layout.is_some()
         && !controller.config.flavors.is_empty();
     let mut digests = controller.digests.values();
-    let is_partitioned =
-        !store_answers && digests.any(|d| d.digest.state_ok && d.is_fresh(now, MAX_DIGEST_AGE));
+    let is_partitioned = !store_answers
+        && digests.any(|d| d.digest.store_reachable && d.is_fresh(now, MAX_DIGEST_AGE));
     if started && !is_partitioned {
         Response::status(200)
     } else {
-        Response::later(503, 1)
+        Response::retry_later(503, 1)
     }
 }
--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -3,7 +3,9 @@
 
 use crate::state::{ControllerContext, decode_record};
 use pulleywood_protocol::job::JobAnswer;
-use pulleywood_protocol::record::{CLOSED, FinalRecord, before_final_key, closed_job, final_key};
+use pulleywood_protocol::record::{
+    FINAL_STATE_PREFIX, FinalRecord, final_key, job_of_final_key, list_start_before_final_key,
+};
 use pulleywood_protocol::{JobId, JobStatus};
 use pulleywood_transport::server::Response;
 use pulleywood_transport::{RequestPriority, StoreError};
@@ -51,17 +53,17 @@
         return Ok(Some(state));
     }
     let key = final_key(id);
-    let after = before_final_key(id);
-    let page = context.store.slice(
-        RequestPriority::Question,
-        CLOSED,
+    let after = list_start_before_final_key(id);
+    let page = context.store.list_after(
+        RequestPriority::UserRead,
+        FINAL_STATE_PREFIX,
         &after,
         FINAL_STATES_PER_READ,
     )?;
     let page_covers_key = !page.more || page.items.last().is_some_and(|last| last.path >= key);
     let mut final_states = context.final_states.lock();
     for item in &page.items {
-        if let Some(job) = closed_job(&item.path)
+        if let Some(job) = job_of_final_key(&item.path)
             && let Some(state) = decode_record(Some(&item.value), &item.path)
         {
             final_states.insert(&job, state);
@@ -75,7 +77,7 @@
         return Ok(None);
     }
     // Longer ids with the same prefix sort before this key and have filled the page.
-    let Some(item) = context.store.get(RequestPriority::Question, &key)? else {
+    let Some(item) = context.store.get(RequestPriority::UserRead, &key)? else {
         return Ok(None);
     };
     let state: Option<FinalRecord> = decode_record(Some(&item.value), &key);
@@ -97,7 +99,7 @@
 /// Encodes a job's status and its numbers of done and running tasks.
 fn status_response(id: &JobId, status: JobStatus, done: u32, running: u32) -> Response {
     let answer = JobAnswer {
-        uid: id.clone(),
+        id: id.clone(),
         status,
         done,
         running,
@@ -114,7 +116,7 @@
     let mut done = recorded_done;
     let mut running = 0;
     for led in controller.led_shards.values() {
-        running += led.state.running(id);
+        running += led.state.running_tasks(id);
         if let Some(job) = led.state.jobs.get(id) {
             done = done.max(job.done.len());
         }
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -75,7 +75,7 @@
         WaitOutcome::Reported(outcome) => outcome,
         WaitOutcome::Full | WaitOutcome::NotTaken => SubmissionOutcome::Refused(refusal),
         // Its job batch is being written; the user's retry finds the outcome.
-        WaitOutcome::Pending => SubmissionOutcome::Refused(StoreError::Unknown(format!(
+        WaitOutcome::Pending => SubmissionOutcome::Refused(StoreError::OutcomeUnknown(format!(
             "the job batch was not committed within {SUBMISSION_TIMEOUT:?}"
         ))),
     }
@@ -120,16 +120,16 @@
         submissions.wait_for_item();
         // Submissions that arrive until there are tokens share the transaction. A single one
         // gets a record of its own, which takes one write instead of two.
-        let mut tokens = context.store.take(RequestPriority::JobBatch, 1);
+        let mut tokens = context.store.take_tokens(RequestPriority::JobBatch, 1);
         let several = submissions.len() > 1;
         if several && tokens.is_ok() {
-            tokens = context.store.take(RequestPriority::JobBatch, 1);
+            tokens = context.store.take_tokens(RequestPriority::JobBatch, 1);
         }
         let mut waiting = submissions.take_oldest(usize::MAX);
         if tokens.is_ok() && !several {
             match waiting.len() {
                 1 => waiting = write_unbatched(context, waiting),
-                _ => tokens = context.store.take(RequestPriority::JobBatch, 1),
+                _ => tokens = context.store.take_tokens(RequestPriority::JobBatch, 1),
             }
         }
         match tokens {
@@ -169,7 +169,7 @@
         if matches!(outcome, SubmissionOutcome::Refused(StoreError::Budget(_)))
             && context
                 .store
-                .take(RequestPriority::JobBatch, WRITES_PER_BATCH)
+                .take_tokens(RequestPriority::JobBatch, WRITES_PER_BATCH)
                 .is_ok()
         {
             return waiting;
@@ -194,7 +194,7 @@
         if attempt > 0
             && let Err(StoreError::Budget(retry_after)) = context
                 .store
-                .take(RequestPriority::JobBatch, WRITES_PER_BATCH)
+                .take_tokens(RequestPriority::JobBatch, WRITES_PER_BATCH)
         {
             return refuse(context, waiting, retry_after);
         }
--- a/crates/pulleywood-controller/src/api/users.rs
+++ b/crates/pulleywood-controller/src/api/users.rs
@@ -70,7 +70,7 @@
         return Response::status(404);
     };
     let Some(shard_count) = shard_count(context) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         match look_up_job(context, &id) {
@@ -95,7 +95,7 @@
             }
         }
     }
-    Response::later(503, 1)
+    Response::retry_later(503, 1)
 }
 
 fn shard_count(context: &ControllerContext) -> Option<u32> {
@@ -108,9 +108,9 @@
     match error {
         StoreError::Budget(retry_after) => {
             let seconds = retry_after.as_secs_f64().ceil();
-            Response::later(429, seconds.clamp(MIN_RETRY_S, MAX_RETRY_S) as u32)
+            Response::retry_later(429, seconds.clamp(MIN_RETRY_S, MAX_RETRY_S) as u32)
         }
-        _ => Response::later(503, 1),
+        _ => Response::retry_later(503, 1),
     }
 }
 
@@ -129,9 +129,9 @@
 fn decide_submission(context: &ControllerContext, spec: JobSpec) -> SubmissionDecision {
     let config = Arc::clone(&context.controller.lock().config);
     let Some(shard_count) = shard_count(context).filter(|_| !config.flavors.is_empty()) else {
-        return SubmissionDecision::Respond(Response::later(503, 1));
+        return SubmissionDecision::Respond(Response::retry_later(503, 1));
     };
-    if let Some(reason) = config.never_runs(&spec) {
+    if let Some(reason) = config.unschedulable_reason(&spec) {
         return SubmissionDecision::NeverRuns(spec.id, reason);
     }
     let final_state = context.final_states.lock().get(&spec.id);
@@ -186,7 +186,7 @@
     // During a burst, jobs of lower rank leave the tokens to those of higher rank.
     let priority = match record.spec.rank {
         Rank::Production | Rank::Urgent => RequestPriority::User,
-        Rank::Standard | Rank::Idle => RequestPriority::Later,
+        Rank::Standard | Rank::Idle => RequestPriority::LowRankSubmission,
     };
     let head = {
         let controller = context.controller.lock();
@@ -195,7 +195,7 @@
         }
         controller.cached.job_batch_head.revision
     };
-    match context.store.take(priority, 1) {
+    match context.store.take_tokens(priority, 1) {
         Ok(()) => accept_unbatched(context, shard, record, head),
         Err(e) => SubmissionOutcome::Refused(e),
     }
@@ -209,7 +209,7 @@
     match outcome {
         SubmissionOutcome::Accepted => {
             let answer = JobAnswer {
-                uid: id,
+                id,
                 status: JobStatus::Queued,
                 done: 0,
                 running: 0,
@@ -217,7 +217,7 @@
             Response::cbor(201, &answer)
         }
         SubmissionOutcome::AlreadyExists => match look_up_job(context, &id) {
-            Ok(StoredJob::Unknown) => Response::later(503, 1),
+            Ok(StoredJob::Unknown) => Response::retry_later(503, 1),
             Ok(stored) => job_response(context, &id, &stored),
             Err(e) => retry_later(&e),
         },
--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -49,14 +49,14 @@
                 let leader = Some(member);
                 return Response::cbor(421, &Redirect { leader });
             }
-            Route::Unavailable => return Response::later(503, 1),
+            Route::Unavailable => return Response::retry_later(503, 1),
             Route::Register(shard) => match register(context, &heartbeat, shard) {
                 RegistrationOutcome::Registered => {}
-                RegistrationOutcome::NotRegistered => return Response::later(503, 1),
+                RegistrationOutcome::NotRegistered => return Response::retry_later(503, 1),
             },
         }
     }
-    Response::later(503, 1)
+    Response::retry_later(503, 1)
 }
 
 /// Routes heartbeats by the current controller state.
@@ -107,7 +107,7 @@
         let controller = self.controller;
         let shard = controller
             .config
-            .shard_for(&heartbeat.machine, &heartbeat.zone);
+            .registering_shard(&heartbeat.machine, &heartbeat.zone);
         if let Some(holder) = controller.cached.shard_leaders.get(&shard)
             && holder.value.member != self.context.controller_id
             && let Route::Redirect(member) = self.redirect(&holder.value.member)
@@ -170,10 +170,10 @@
     let config = Arc::clone(&controller.config);
     let may_launch = controller.may_launch(now);
     let Some(led) = controller.led_shards.get_mut(&shard) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
-    match led.state.heartbeat(heartbeat, false, now, &config) {
-        HeartbeatOutcome::Fresh => {}
+    match led.state.handle_heartbeat(heartbeat, false, now, &config) {
+        HeartbeatOutcome::Accepted => {}
         // The worker obeys a newer leader and has to find it.
         HeartbeatOutcome::Superseded => {
             if context.recovery.is_some() {
@@ -183,16 +183,18 @@
                     now,
                 );
             }
-            return Response::later(503, 1);
+            return Response::retry_later(503, 1);
         }
         // The worker no longer waits for the response to this heartbeat.
-        HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => return Response::later(503, 1),
+        HeartbeatOutcome::Stale | HeartbeatOutcome::Unknown => {
+            return Response::retry_later(503, 1);
+        }
     }
     let commands = led
         .state
-        .answer(&heartbeat.machine, may_launch, now, &config);
+        .response_commands(&heartbeat.machine, may_launch, now, &config);
     let Some(machine) = led.state.machines.get(&heartbeat.machine) else {
-        return Response::later(503, 1);
+        return Response::retry_later(503, 1);
     };
     let fencing_token = machine.fencing_token(led.state.fencing_token);
     drop(controller);
--- a/crates/pulleywood-controller/src/controller.rs
+++ b/crates/pulleywood-controller/src/controller.rs
@@ -8,7 +8,7 @@
 use crate::{coordinator, peers, recovery, session_lease, watch};
 use parking_lot::{Condvar, Mutex};
 use pulleywood_protocol::MemberId;
-use pulleywood_protocol::settings::{Bounds, Settings};
+use pulleywood_protocol::settings::{ConnectionLimits, Settings};
 use pulleywood_scheduler::Config;
 use pulleywood_transport::peer::PeerClient;
 use pulleywood_transport::server::{self, Limits};
@@ -122,10 +122,10 @@
     /// An address is invalid, a socket cannot be opened, or a thread cannot be started.
     pub fn start(settings: Settings, policy: OperatorPolicy) -> Result<Controller, StartError> {
         let context = Arc::new(build_context(settings, policy)?);
-        let bounds = Bounds::new(&context.settings);
-        warn_about_few_threads(&context, &bounds);
-        serve_peers(&context, &bounds)?;
-        let serve_on = serve_http(&context, &bounds)?;
+        let limits = ConnectionLimits::new(&context.settings);
+        warn_about_few_threads(&context, &limits);
+        serve_peers(&context, &limits)?;
+        let serve_on = serve_http(&context, &limits)?;
         start_threads(&context)?;
         log::info!("started controller {} on {serve_on}", context.controller_id);
         Ok(Controller { context, serve_on })
@@ -162,7 +162,7 @@
     let cloud = cloud_client(&settings, controllers)?;
     let peers = peer_clients(&settings)?;
     let mut config = Config::new(&settings, policy.scheduler);
-    config.batch_ops = config.batch_ops.min(store.preferred_writes());
+    config.max_batch_operations = config.max_batch_operations.min(store.preferred_writes());
     Ok(ControllerContext {
         controller_id: settings.member.as_str().into(),
         boot: fastrand::u64(1..BOOT_LIMIT),
@@ -219,9 +219,11 @@
         .collect()
 }
 
-fn warn_about_few_threads(context: &ControllerContext, bounds: &Bounds) {
-    if let Some(field) = Bounds::too_few(&context.settings, MIN_CONNECTION_THREADS) {
-        let threads = bounds.threads;
+fn warn_about_few_threads(context: &ControllerContext, limits: &ConnectionLimits) {
+    if let Some(field) =
+        ConnectionLimits::limiting_setting(&context.settings, MIN_CONNECTION_THREADS)
+    {
+        let threads = limits.threads;
         log::warn!(
             "limited the connection threads to {threads}, fewer than {MIN_CONNECTION_THREADS}, \
              because of cluster.resources.{field}"
@@ -229,23 +231,29 @@
     }
 }
 
-fn serve_peers(context: &Arc<ControllerContext>, bounds: &Bounds) -> Result<(), StartError> {
+fn serve_peers(
+    context: &Arc<ControllerContext>,
+    limits: &ConnectionLimits,
+) -> Result<(), StartError> {
     let listen = parse_address(&context.settings.cluster_listen)?;
     let handler_context = Arc::clone(context);
     let answer = move |request| api::peers::answer(&handler_context, request);
-    pulleywood_transport::peer::serve(listen, bounds.peers, answer)
+    pulleywood_transport::peer::serve(listen, limits.peer_connections, answer)
         .map(|_| ())
         .map_err(io_error(format!("listen on cluster_listen {listen}")))
 }
 
-fn serve_http(context: &Arc<ControllerContext>, bounds: &Bounds) -> Result<SocketAddr, StartError> {
+fn serve_http(
+    context: &Arc<ControllerContext>,
+    limits: &ConnectionLimits,
+) -> Result<SocketAddr, StartError> {
     let serve_on = parse_address(&context.settings.serve_on)?;
-    let limits = Limits {
-        connections: bounds.connections,
-        threads: bounds.threads,
+    let server_limits = Limits {
+        connections: limits.connections,
+        threads: limits.threads,
     };
     let router = RequestRouter(Arc::clone(context));
-    let server = server::serve(serve_on, limits, router)
+    let server = server::serve(serve_on, server_limits, router)
         .map_err(io_error(format!("listen on serve_on {serve_on}")))?;
     Ok(server.address)
 }
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -7,7 +7,7 @@
 use pulleywood_protocol::time::secs;
 use pulleywood_protocol::{MachineId, MonotonicTime};
 use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot};
-use pulleywood_transport::cloud::Listing;
+use pulleywood_transport::cloud::RentalListing;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
     /// Number of rental requests named under the lease's fencing token.
     request_count: u64,
     /// The pages of the next list that have been read.
-    partial_list: Listing,
+    partial_list: RentalListing,
     list_read_at: Option<MonotonicTime>,
 }
 
@@ -52,7 +52,7 @@
             rentals: Vec::new(),
             recently_released: HashMap::new(),
             request_count,
-            partial_list: Listing::default(),
+            partial_list: RentalListing::default(),
             list_read_at: None,
         }
     }
@@ -72,7 +72,7 @@
         {
             return;
         }
-        match context.cloud.rentals(&mut self.partial_list) {
+        match context.cloud.read_rentals(&mut self.partial_list) {
             Ok(Some(rentals)) => {
                 self.rentals = rentals;
                 self.list_read_at = Some(now);
@@ -128,7 +128,7 @@
 
 fn any_peer_refuses(controller: &ControllerState, now: MonotonicTime) -> bool {
     let mut digests = controller.digests.values();
-    digests.any(|d| d.digest.refusing && d.is_fresh(now, MAX_DIGEST_AGE))
+    digests.any(|d| d.digest.refusing_submissions && d.is_fresh(now, MAX_DIGEST_AGE))
 }
 
 #[cfg(test)]
--- a/crates/pulleywood-controller/src/coordinator/mod.rs
+++ b/crates/pulleywood-controller/src/coordinator/mod.rs
@@ -62,7 +62,7 @@
                     "acquired the coordinator lease with fencing token {}",
                     lease.fencing_token
                 );
-                context.cloud.become_coordinator();
+                context.cloud.drain_coordinator_budget();
                 self.held_last_round = true;
                 Fleet::new(previous, lease)
             }
--- a/crates/pulleywood-controller/src/coordinator/quota.rs
+++ b/crates/pulleywood-controller/src/coordinator/quota.rs
@@ -8,7 +8,7 @@
 use pulleywood_protocol::peer::{PeerRequest, ShardDigest};
 use pulleywood_protocol::record::{COORDINATOR_LEASE, QuotaRecord, quota_key};
 use pulleywood_protocol::store::Transaction;
-use pulleywood_scheduler::quota::{self, Need, Step};
+use pulleywood_scheduler::quota::{self, QuotaNeed, QuotaStep};
 use pulleywood_transport::RequestPriority;
 use pulleywood_transport::store::Outcome;
 use std::collections::BTreeMap;
@@ -31,14 +31,14 @@
         return;
     };
     match step {
-        Step::Shrink(shard, smaller_quota) => {
+        QuotaStep::Shrink(shard, smaller_quota) => {
             ask_leader(
                 context,
                 shard,
                 PeerRequest::ShrinkQuota(shard, smaller_quota),
             );
         }
-        Step::Grow(shard, record) => {
+        QuotaStep::Grow(shard, record) => {
             commit_growth(context, prepare_growth(lease, &stored, shard, record))
         }
     }
@@ -46,7 +46,7 @@
 
 /// Decides the next step, and returns it with the stored quotas that it is based on. `None`
 /// if no step is needed or a quota is not yet known.
-fn decide(context: &ControllerContext) -> Option<(Step, StoredQuotas)> {
+fn decide(context: &ControllerContext) -> Option<(QuotaStep, StoredQuotas)> {
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let shards = controller.cached.shard_count().unwrap_or(0);
@@ -67,15 +67,15 @@
 }
 
 /// Returns each team's use and demand in a shard.
-fn team_needs(digest: &ShardDigest) -> BTreeMap<String, Need> {
-    let mut teams: BTreeMap<String, Need> = BTreeMap::new();
+fn team_needs(digest: &ShardDigest) -> BTreeMap<String, QuotaNeed> {
+    let mut teams: BTreeMap<String, QuotaNeed> = BTreeMap::new();
     for (team, used) in &digest.used {
         teams.entry(team.clone()).or_default().used = *used;
     }
     for (team, wanted) in &digest.wanted {
         teams.entry(team.clone()).or_default().wanted = *wanted;
     }
-    for team in &digest.stuck {
+    for team in &digest.quota_blocked_teams {
         teams.entry(team.clone()).or_default().stuck = true;
     }
     teams
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -4,7 +4,7 @@
 use crate::state::ControllerContext;
 use crate::watch;
 use pulleywood_protocol::cloud::RentalRequest;
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::COORDINATOR_LEASE;
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{MachineId, MonotonicTime, Revision};
@@ -43,7 +43,7 @@
 
 /// A transaction that deletes the records of released machines, ready to be committed.
 struct PreparedDeletion {
-    machine_batches: Vec<MachineBatchAfter>,
+    machine_batches: Vec<MachineBatchUpdate>,
     transaction: Transaction,
 }
 
@@ -73,14 +73,14 @@
     let now = context.clock.now();
     let mut remaining = count;
     while remaining > 0 && fleet.history.is_rentable(kind, now) {
-        let how_many = remaining.min(MAX_MACHINES_PER_RENTAL);
-        remaining -= how_many;
+        let request_count = remaining.min(MAX_MACHINES_PER_RENTAL);
+        remaining -= request_count;
         let request = RentalRequest {
             name: fleet.next_request_name(),
             flavor: kind.flavor.clone(),
             zone: kind.zone.clone(),
             spot: kind.spot,
-            how_many,
+            count: request_count,
         };
         if send(context, fleet, request, now) == RentalOutcome::NotRented {
             return;
@@ -107,11 +107,11 @@
         Err(CloudError::NoCapacity) => {
             log::info!(
                 "failed to rent {} machines: the cloud has no capacity for {kind:?}",
-                request.how_many
+                request.count
             );
             fleet.history.record_refusal(&kind, now);
         }
-        Err(CloudError::Unknown(e)) => {
+        Err(CloudError::OutcomeUnknown(e)) => {
             log::debug!(
                 "got no response to rental request {}, which will be repeated: {e}",
                 request.name
@@ -133,12 +133,12 @@
     log::info!(
         "rented {} of {} requested {} machines in zone {} (spot: {})",
         machines.len(),
-        request.how_many,
+        request.count,
         request.flavor,
         request.zone,
         request.spot
     );
-    if (machines.len() as u32) < request.how_many {
+    if (machines.len() as u32) < request.count {
         fleet.history.record_refusal(kind, now);
     } else {
         fleet.history.record_filled_rental(kind);
@@ -211,7 +211,7 @@
 ) -> PreparedDeletion {
     let controller = context.controller.lock();
     let batches = &controller.cached.machine_batches;
-    let max_batches = controller.config.batch_ops;
+    let max_batches = controller.config.max_batch_operations;
     let mut batch_numbers = BTreeSet::new();
     let mut records = BTreeMap::new();
     remaining.retain(|id| {
@@ -227,7 +227,7 @@
     });
     let transaction = Transaction::default().when(COORDINATOR_LEASE, lease_revision);
     let limit = controller.config.machine_batch_bytes();
-    let (transaction, machine_batches) = batches.change(transaction, &records, limit);
+    let (transaction, machine_batches) = batches.update_records(transaction, &records, limit);
     PreparedDeletion {
         machine_batches,
         transaction,
--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -4,19 +4,20 @@
 
 use parking_lot::Mutex;
 use pulleywood_protocol::cloud::Rental;
-use pulleywood_protocol::record::{LIVE, MachineRecord, final_key, job_key};
+use pulleywood_protocol::record::{LIVE_PREFIX, MachineRecord, final_key, job_key};
 use pulleywood_protocol::settings::Settings;
 use pulleywood_protocol::time::secs;
 use pulleywood_protocol::{FencingToken, JobId, MachineId, MonotonicTime};
 use pulleywood_recovery::evidence::{
-    Blocks, CloudEvidence, Evidence, Heard, StoredShard, StoredState, Unreadable,
+    BlockedScope, CloudEvidence, Evidence, ReceivedHeartbeat, StoredShard, StoredState,
+    UnreadableRecord,
 };
 use pulleywood_recovery::report::Report;
 use pulleywood_recovery::task_class::TaskClass;
 use pulleywood_recovery::{Reconciliation, reconcile};
 use pulleywood_scheduler::Config;
 use pulleywood_scheduler::config::Policy;
-use pulleywood_transport::cloud::{self, Listing};
+use pulleywood_transport::cloud::{self, RentalListing};
 use pulleywood_transport::{Budget, CloudClient, RequestPriority, StoreClient, StoreError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -59,38 +60,50 @@
     let mut config = Config::new(settings, Policy::defaults(settings));
     let cloud = read_cloud(settings, &mut config);
     let (items, revision) =
-        retry(|| store.list(RequestPriority::Lease, LIVE)).map_err(unreadable)?;
-    let mut stored = StoredState::from_items(&items, revision, config.chunk);
+        retry(|| store.list(RequestPriority::Lease, LIVE_PREFIX)).map_err(unreadable)?;
+    let mut stored = StoredState::from_items(&items, revision, config.chunk_tasks);
     config.shards = stored.shard_count;
-    let heard = if ask_workers {
+    let heartbeats = if ask_workers {
         read_heartbeats(&stored)
     } else {
         BTreeMap::new()
     };
-    let expired = BTreeSet::new();
+    let expired_leases = BTreeSet::new();
     let reconciliation = {
-        let evidence = evidence(&config, &stored, &heard, &expired, cloud.as_ref());
+        let evidence = evidence(
+            &config,
+            &stored,
+            &heartbeats,
+            &expired_leases,
+            cloud.as_ref(),
+        );
         reconcile(&evidence)
     };
     // A task counts as one of an unknown job only if the job is not found by reads that begin
     // after the heartbeat.
     look_up_unknown_jobs(&store, &mut stored, &reconciliation).map_err(unreadable)?;
-    let evidence = evidence(&config, &stored, &heard, &expired, cloud.as_ref());
+    let evidence = evidence(
+        &config,
+        &stored,
+        &heartbeats,
+        &expired_leases,
+        cloud.as_ref(),
+    );
     Ok(Report::new(&reconcile(&evidence), &evidence, ask_workers))
 }
 
 fn evidence<'a>(
     config: &'a Config,
     stored: &'a StoredState,
-    heard: &'a BTreeMap<MachineId, Heard>,
-    expired: &'a BTreeSet<MachineId>,
+    heartbeats: &'a BTreeMap<MachineId, ReceivedHeartbeat>,
+    expired_leases: &'a BTreeSet<MachineId>,
     cloud: Option<&'a CloudEvidence>,
 ) -> Evidence<'a> {
     Evidence {
         config,
         stored,
-        heard,
-        expired,
+        heartbeats,
+        expired_leases,
         cloud,
         now: MonotonicTime(0),
     }
@@ -143,7 +156,7 @@
         Err(e) => log::warn!("failed to read the machine types: {e}"),
     }
     let mut evidence = CloudEvidence::new(secs(settings.cluster.cloud.list_lag_s));
-    evidence.take(
+    evidence.update(
         &read_rentals(&client)?,
         std::iter::empty(),
         MonotonicTime(0),
@@ -153,10 +166,10 @@
 
 /// Reads all pages of the machine list.
 fn read_rentals(client: &CloudClient) -> Option<Vec<Rental>> {
-    let mut listing = Listing::default();
+    let mut listing = RentalListing::default();
     let mut retries = 0;
     loop {
-        match client.rentals(&mut listing) {
+        match client.read_rentals(&mut listing) {
             Ok(Some(list)) => return Some(list),
             Ok(None) => {}
             Err(e) if retries == MAX_RETRIES => {
@@ -179,9 +192,9 @@
 }
 
 /// Asks the workers of all recorded machines for their heartbeats.
-fn read_heartbeats(stored: &StoredState) -> BTreeMap<MachineId, Heard> {
+fn read_heartbeats(stored: &StoredState) -> BTreeMap<MachineId, ReceivedHeartbeat> {
     let machines = Mutex::new(stored.machines.iter());
-    let heard = Mutex::new(BTreeMap::new());
+    let heartbeats = Mutex::new(BTreeMap::new());
     std::thread::scope(|scope| {
         for _ in 0..MAX_CONCURRENT_WORKERS {
             scope.spawn(|| {
@@ -189,13 +202,17 @@
                     let Ok(addr) = record.endpoint.parse() else {
                         continue;
                     };
-                    match cloud::show(addr, WORKER_TIMEOUT) {
+                    match cloud::fetch_heartbeat(addr, WORKER_TIMEOUT) {
                         Ok(heartbeat) if heartbeat.machine == *id => {
                             let required = required_fencing_token(stored, record);
-                            let current = heartbeat.fencing_token >= required;
-                            heard
-                                .lock()
-                                .insert(id.clone(), Heard { heartbeat, current });
+                            let is_current = heartbeat.fencing_token >= required;
+                            heartbeats.lock().insert(
+                                id.clone(),
+                                ReceivedHeartbeat {
+                                    heartbeat,
+                                    is_current,
+                                },
+                            );
                         }
                         Ok(other) => log::warn!(
                             "ignored the heartbeat of machine {} from the address of machine {id}",
@@ -209,7 +226,7 @@
             });
         }
     });
-    heard.into_inner()
+    heartbeats.into_inner()
 }
 
 /// Looks for the live records and final states of jobs that only workers have reported.
@@ -228,12 +245,12 @@
         if retry(|| store.get(RequestPriority::Lease, &live))?.is_some() {
             // The job was accepted after the list was read. Its tasks are left alone: its key
             // is treated like that of a record that cannot be read.
-            stored.unreadable.push(Unreadable {
+            stored.unreadable.push(UnreadableRecord {
                 key: live,
-                blocks: Blocks::Job(id),
+                blocks: BlockedScope::Job(id),
             });
         } else if retry(|| store.get(RequestPriority::Lease, &final_key(&id)))?.is_some() {
-            stored.closed.insert(id);
+            stored.closed_jobs.insert(id);
         }
     }
     Ok(())
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -29,7 +29,7 @@
         std::thread::sleep(DIGEST_INTERVAL.mul_f64(0.85 + 0.3 * fastrand::f64()));
         let digest = PeerRequest::Digest(Box::new(context.digest()));
         let sent = context.clock.now();
-        match client.ask(&digest, RESPONSE_TIMEOUT) {
+        match client.call(&digest, RESPONSE_TIMEOUT) {
             Ok(PeerResponse::Serving(serving)) => {
                 let now = context.clock.now();
                 context
@@ -53,13 +53,13 @@
     loop {
         for peer in context.peers.values() {
             std::thread::sleep(BORROW_INTERVAL);
-            if !context.store.budget().is_short() {
+            if !context.store.budget().is_short_of_writes() {
                 continue;
             }
-            match peer.ask(&PeerRequest::BorrowWriteTokens, RESPONSE_TIMEOUT) {
+            match peer.call(&PeerRequest::BorrowWriteTokens, RESPONSE_TIMEOUT) {
                 // Tokens in a lost response are lost, so none is used twice.
                 Ok(PeerResponse::WriteTokens(tokens)) => {
-                    context.store.budget().add_writes(tokens);
+                    context.store.budget().add_write_tokens(tokens);
                 }
                 Ok(_) => {}
                 Err(e) => log::debug!("failed to borrow write tokens from a peer: {e}"),
@@ -80,7 +80,7 @@
         let jobs = context.cancellation_notices.take_all();
         for leader in live_leaders(context) {
             if let Some(peer) = context.peers.get(&leader)
-                && let Err(e) = peer.ask(
+                && let Err(e) = peer.call(
                     &PeerRequest::NoteCancellations(jobs.clone()),
                     NOTICE_TIMEOUT,
                 )
--- a/crates/pulleywood-controller/src/policy.rs
+++ b/crates/pulleywood-controller/src/policy.rs
@@ -165,8 +165,8 @@
     defaults.set(SICK_JOBS, policy.scheduler.sick_jobs)?;
     let subsystem = lua.create_table()?;
     let mut recovery_policy = policy.recovery.clone().unwrap_or_default();
-    for setting in recovery::LEVERS {
-        subsystem.set(setting.name, *(setting.slot)(&mut recovery_policy))?;
+    for setting in recovery::POLICY_SETTINGS {
+        subsystem.set(setting.name, *(setting.field)(&mut recovery_policy))?;
     }
     defaults.set(RECOVERY, subsystem)?;
     lua.globals().set("defaults", defaults)?;
@@ -301,16 +301,16 @@
         for pair in table.pairs::<String, Value>() {
             let (name, value) = pair.map_err(|e| PolicyError::Script(self.name.to_owned(), e))?;
             let key = format!("{RECOVERY}.{name}");
-            let Some(setting) = recovery::LEVERS.iter().find(|l| l.name == name) else {
-                let known = recovery::LEVERS.iter().map(|l| l.name);
+            let Some(setting) = recovery::POLICY_SETTINGS.iter().find(|l| l.name == name) else {
+                let known = recovery::POLICY_SETTINGS.iter().map(|l| l.name);
                 return self.unknown(&key, "no such setting", known);
             };
-            let number = if setting.whole {
-                self.whole_number(&key, &value, setting.least, setting.most)?
+            let number = if setting.is_integer {
+                self.whole_number(&key, &value, setting.min, setting.max)?
             } else {
-                self.number(&key, &value, setting.least, setting.most)?
+                self.number(&key, &value, setting.min, setting.max)?
             };
-            *(setting.slot)(policy) = number;
+            *(setting.field)(policy) = number;
         }
         Ok(())
     }
--- a/crates/pulleywood-controller/src/recovery/audit.rs
+++ b/crates/pulleywood-controller/src/recovery/audit.rs
@@ -9,7 +9,7 @@
 use pulleywood_protocol::record::Key;
 use pulleywood_protocol::store::Item;
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, Revision, ShardId};
-use pulleywood_recovery::audit::{Finding, Holdings, Missing};
+use pulleywood_recovery::audit::{AuditedState, Discrepancy, Finding};
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,7 +19,9 @@
     /// tokens for it.
     pub(super) fn audit(&mut self, context: &Arc<ControllerContext>) -> Result<(), StoreError> {
         let now = context.clock.now();
-        if self.policy.slice() == 0 || now.since(self.last_audit) < self.policy.audit_every() {
+        if self.policy.audit_slice_size() == 0
+            || now.since(self.last_audit) < self.policy.audit_interval()
+        {
             return Ok(());
         }
         self.last_audit = now;
@@ -28,24 +30,24 @@
             if !controller.cache_loaded || !controller.may_act(now) {
                 return Ok(());
             }
-            self.audit.next(&*controller)
+            self.audit.next_slice(&*controller)
         };
         let Some(next_read) = next_read else {
             return Ok(());
         };
         let passes_before = self.audit.counts().passes;
-        let page = context.store.slice(
+        let page = context.store.list_after(
             RequestPriority::Housekeeping,
             next_read.prefix,
             &next_read.after,
-            self.policy.slice(),
+            self.policy.audit_slice_size(),
         )?;
         // The slice contains only earlier commits, so this read of changes covers all of them.
         watch::read_changes(context, RequestPriority::Housekeeping, Duration::ZERO)?;
         let findings = {
             let controller = context.controller.lock();
             self.audit
-                .take(&page.items, page.more, page.store_revision, &*controller)
+                .compare_slice(&page.items, page.more, page.store_revision, &*controller)
         };
         for finding in &findings {
             load_missing(context, finding);
@@ -69,7 +71,7 @@
     }
 }
 
-impl Holdings for ControllerState {
+impl AuditedState for ControllerState {
     fn revision(&self) -> u64 {
         self.cached.store_revision
     }
@@ -78,26 +80,26 @@
         self.cached.shard_count().unwrap_or(0)
     }
 
-    fn holds(&self, shard: ShardId) -> bool {
+    fn has_loaded(&self, shard: ShardId) -> bool {
         self.led_shards.get(&shard).is_some_and(|led| led.loaded)
     }
 
-    fn knows_job(&self, job: &JobId) -> bool {
+    fn is_job_cached(&self, job: &JobId) -> bool {
         self.cached.live_jobs.contains_key(job)
     }
 
-    fn has_job(&self, shard: ShardId, job: &JobId) -> bool {
+    fn shard_has_job(&self, shard: ShardId, job: &JobId) -> bool {
         let led = self.led_shards.get(&shard);
         led.is_some_and(|led| {
             led.state.jobs.contains_key(job) || led.state.unreadable_jobs.contains(job)
         })
     }
 
-    fn knows_machine(&self, machine: &MachineId) -> bool {
+    fn is_machine_cached(&self, machine: &MachineId) -> bool {
         self.cached.machines.contains_key(machine)
     }
 
-    fn has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
+    fn shard_has_machine(&self, shard: ShardId, machine: &MachineId) -> bool {
         let led = self.led_shards.get(&shard);
         led.is_some_and(|led| led.state.machines.contains_key(machine))
     }
@@ -109,31 +111,31 @@
 
 /// Loads a record that the audit found missing, in the same way as the watch would.
 fn load_missing(context: &ControllerContext, finding: &Finding) {
-    let (missing, key) = (&finding.missing, &finding.item.path);
-    if !missing.can_be_taken_up() {
+    let (discrepancy, key) = (&finding.discrepancy, &finding.item.path);
+    if !discrepancy.is_repairable() {
         tracing::error!(
             "audit did not load record {key}, which is missing from the controller state \
-             ({missing:?}): its shard does not exist"
+             ({discrepancy:?}): its shard does not exist"
         );
         return;
     }
     tracing::error!(
-        "audit started to load record {key}, which is missing from the controller state: {missing:?}"
+        "audit started to load record {key}, which is missing from the controller state: {discrepancy:?}"
     );
     let now = context.clock.now();
-    match missing {
-        Missing::JobInView(id) | Missing::Job(_, id) => {
+    match discrepancy {
+        Discrepancy::JobNotCached(id) | Discrepancy::JobNotInShard(_, id) => {
             let mut controller = context.controller.lock();
             controller.load_missing_job(id, &finding.item, now);
             controller.suspend_launches(std::slice::from_ref(id), now + LAUNCH_SUSPENSION);
             drop(controller);
             drop_if_changed(context, id, &finding.item);
         }
-        Missing::MachineInView(id) | Missing::Machine(_, id) => {
+        Discrepancy::MachineNotCached(id) | Discrepancy::MachineNotInShard(_, id) => {
             let mut controller = context.controller.lock();
             controller.load_missing_machine(id, &finding.item, now);
         }
-        Missing::JobShard(..) | Missing::MachineShard(..) => {}
+        Discrepancy::JobInUnknownShard(..) | Discrepancy::MachineInUnknownShard(..) => {}
     }
 }
 
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -9,7 +9,7 @@
 use pulleywood_protocol::record::{COORDINATOR_LEASE, FencingTokenCounter};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{FencingToken, MachineId, MonotonicTime, Revision, ShardId};
-use pulleywood_recovery::counter::{self, CounterDecision, Shown};
+use pulleywood_recovery::counter::{self, CounterDecision, ObservedToken};
 use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
             let now = started_at;
             controller
                 .higher_fencing_tokens
-                .retain(|_, shown| now.since(shown.at) < MAX_TOKEN_AGE);
+                .retain(|_, shown| now.since(shown.received_at) < MAX_TOKEN_AGE);
             if controller.higher_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
@@ -45,7 +45,7 @@
             value: counter,
             revision,
         } = read_fencing_token_counter(context)?;
-        let max_gap = self.policy.most_fencing_token_gap as u64;
+        let max_gap = self.policy.max_fencing_token_gap as u64;
         match counter::decide(&shown, counter, started_at, max_gap) {
             CounterDecision::Raise { to, machine } => {
                 raise_counter(context, &machine, (counter, to), revision)
@@ -65,7 +65,7 @@
                     .remove(&machine);
                 Ok(())
             }
-            CounterDecision::Covered => self.reacquire_shards(context, &shown, started_at),
+            CounterDecision::Sufficient => self.reacquire_shards(context, &shown, started_at),
         }
     }
 
@@ -75,13 +75,13 @@
     fn reacquire_shards(
         &mut self,
         context: &Arc<ControllerContext>,
-        shown: &BTreeMap<MachineId, Shown>,
+        shown: &BTreeMap<MachineId, ObservedToken>,
         started_at: MonotonicTime,
     ) -> Result<(), StoreError> {
         let mut outdated: Vec<ShardId> = Vec::new();
         {
             let mut controller = context.controller.lock();
-            for (id, shown) in shown.iter().filter(|(_, s)| s.at < started_at) {
+            for (id, shown) in shown.iter().filter(|(_, s)| s.received_at < started_at) {
                 match controller.shard_behind_token(id, shown.fencing_token) {
                     Some(shard) => outdated.push(shard),
                     None => drop(controller.higher_fencing_tokens.remove(id)),
--- a/crates/pulleywood-controller/src/recovery/mod.rs
+++ b/crates/pulleywood-controller/src/recovery/mod.rs
@@ -9,8 +9,8 @@
 use pulleywood_protocol::{MonotonicTime, ShardId};
 use pulleywood_recovery::RecoveryPolicy;
 use pulleywood_recovery::audit::Audit;
-use pulleywood_recovery::gate::gate;
-use pulleywood_recovery::progress::{Phase, Progress, Transition};
+use pulleywood_recovery::fetch_gate::fetch_gate;
+use pulleywood_recovery::progress::{Phase, PhaseTransition, RecoveryProgress};
 use pulleywood_scheduler::shard::snapshot::ShardSnapshot;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 /// State of the recovery thread between rounds.
 struct Recovery {
     policy: RecoveryPolicy,
-    progress: Progress,
+    progress: RecoveryProgress,
     spans: BTreeMap<ShardId, tracing::Span>,
     audit: Audit,
     /// When the audit last read a slice of the store.
@@ -39,7 +39,7 @@
     };
     let mut recovery = Recovery {
         policy,
-        progress: Progress::default(),
+        progress: RecoveryProgress::default(),
         spans: BTreeMap::new(),
         audit: Audit::default(),
         last_audit: context.clock.now(),
@@ -79,12 +79,14 @@
                 }
                 let since = self.progress.recovering_since(*shard);
                 led.state.fetch_gate = match (snapshot, since) {
-                    (Some(snapshot), Some(since)) => gate(&self.policy, &snapshot, since, now),
+                    (Some(snapshot), Some(since)) => {
+                        fetch_gate(&self.policy, &snapshot, since, now)
+                    }
                     _ => None,
                 };
             }
             self.progress
-                .keep(|shard| controller.led_shards.contains_key(&shard));
+                .retain_led(|shard| controller.led_shards.contains_key(&shard));
             self.spans
                 .retain(|shard, _| controller.led_shards.contains_key(shard));
         }
@@ -95,8 +97,8 @@
 
     /// Logs a transition in a span of the new phase. Each phase of a shard has its own span,
     /// which ends with the phase.
-    fn log_transition(&mut self, transition: &Transition, snapshot: Option<&ShardSnapshot>) {
-        let Transition {
+    fn log_transition(&mut self, transition: &PhaseTransition, snapshot: Option<&ShardSnapshot>) {
+        let PhaseTransition {
             shard,
             fencing_token,
             to,
@@ -107,17 +109,17 @@
             let counts = snapshot.cloned().unwrap_or_default();
             tracing::info!(
                 from = ?transition.from,
-                after_ms = transition.lasted.as_millis() as u64,
-                total_ms = transition.total.as_millis() as u64,
+                after_ms = transition.previous_duration.as_millis() as u64,
+                total_ms = transition.since_acquired.as_millis() as u64,
                 machines = counts.machines,
                 confirmed = counts.confirmed,
                 unreported = counts.unreported,
                 running = counts.running,
                 stopping = counts.stopping,
                 uncommitted = counts.uncommitted,
-                older_waiting = counts.older_waiting,
-                older_blocked = counts.older_blocked,
-                services_missing = counts.services_missing,
+                older_waiting = counts.inherited_waiting,
+                older_blocked = counts.inherited_blocked,
+                services_missing = counts.waiting_replicas,
                 "recovery of shard {shard} entered phase {to:?}"
             );
         });
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -53,7 +53,7 @@
         None => Some(context.store.grant_lease(ttl)?),
         Some(lease_id) => {
             let timeout = (ttl / 3).min(RENEWAL_TIMEOUT);
-            context.store.renew(lease_id, timeout)?;
+            context.store.renew_lease(lease_id, timeout)?;
             None
         }
     };
@@ -126,5 +126,5 @@
     let holder = decode_record::<LeaseHolder>(Some(&item.value), key);
     let is_previous = holder.is_some_and(|holder| is_previous_process(context, &holder));
     let lease_id: Option<LeaseId> = item.lease_id.filter(|_| is_previous);
-    lease_id.map_or(Ok(()), |lease_id| context.store.end(lease_id))
+    lease_id.map_or(Ok(()), |lease_id| context.store.revoke_lease(lease_id))
 }
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -112,20 +112,20 @@
     };
     let next_previous = PreviousLeaseHolder {
         holder: holder.clone(),
-        settled: previous.value.is_none(),
+        reconciled: previous.value.is_none(),
     };
     let vacant = Transaction::default().when(shard_leader_key(shard), Revision(0));
     let mut transaction = next_counter
         .replace(vacant, counter.revision)
         .when(previous_leader_key(shard), previous.revision)
-        .hold(shard_leader_key(shard), &holder, lease_id)
+        .write_with_lease(shard_leader_key(shard), &holder, lease_id)
         .write(previous_leader_key(shard), &next_previous)
         // A cached state that was read in several pages may show the shard as vacant and
         // still have its quota from before the last shrink.
         .when(quota_key(shard), quota_revision.unwrap_or_default());
     let first_quota = quota_revision
         .is_none()
-        .then(|| quota::first(&config, shards));
+        .then(|| quota::initial_quotas(&config, shards));
     if let Some(first_quota) = &first_quota {
         transaction = transaction.write(quota_key(shard), first_quota);
     }
@@ -152,7 +152,7 @@
                 std::thread::sleep(Duration::from_millis(fastrand::u64(5..60)));
                 Ok(AcquireOutcome::NotAcquired)
             }
-            Err(StoreError::Unknown(_)) => self.read_outcome(context),
+            Err(StoreError::OutcomeUnknown(_)) => self.read_outcome(context),
             Err(e) => Err(e),
         }
     }
@@ -193,8 +193,8 @@
             previous_launches.until,
             self.config.zones.clone(),
         );
-        state.resumption.stops_wait = context.recovery.is_some();
-        state.day_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
+        state.resumption.delays_preemption = context.recovery.is_some();
+        state.wall_clock_offset_ms = now.0 as i64 - time_of_day_ms() as i64;
         if let Some(first_quota) = self.first_quota {
             controller.put_quota(self.shard, first_quota, revision);
         }
@@ -235,17 +235,17 @@
             };
         };
         let this_controller = previous.holder.member == context.controller_id;
-        match (previous.settled, this_controller) {
+        match (previous.reconciled, this_controller) {
             (false, _) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: None,
             },
             (true, true) => PreviousLaunches {
-                until: now + self.config.lease_surely_expired(),
+                until: now + self.config.lease_expiry_bound(),
                 leader: None,
             },
             (true, false) => PreviousLaunches {
-                until: now + self.config.previous_leader_span(),
+                until: now + self.config.previous_leader_window(),
                 leader: Some(previous.holder.clone()),
             },
         }
--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -103,7 +103,7 @@
         incarnation,
         commands: Vec::new(),
     };
-    match cloud::direct(address, &command, REPLY_TIMEOUT) {
+    match cloud::send_direct_command(address, &command, REPLY_TIMEOUT) {
         Ok((true, heartbeat)) if heartbeat.machine == *machine => Reply::Accepted(heartbeat),
         Ok((true, _)) => Reply::Ignored,
         Ok((false, heartbeat)) if heartbeat.incarnation != incarnation => {
@@ -127,6 +127,6 @@
     let mut controller = context.controller.lock();
     let config = Arc::clone(&controller.config);
     if let Some(led) = controller.led_shards.get_mut(&shard) {
-        led.state.heartbeat(heartbeat, true, now, &config);
+        led.state.handle_heartbeat(heartbeat, true, now, &config);
     }
 }
--- a/crates/pulleywood-controller/src/shard/hand_over.rs
+++ b/crates/pulleywood-controller/src/shard/hand_over.rs
@@ -25,7 +25,7 @@
         }
         // If the outcome is unknown, the key may have been deleted and acquired by another
         // controller. A shard without a leader is better than one with two.
-        Ok(Outcome::Conflict) | Err(StoreError::Unknown(_)) => {
+        Ok(Outcome::Conflict) | Err(StoreError::OutcomeUnknown(_)) => {
             controller.led_shards.remove(&shard);
         }
         Err(_) => {
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -79,7 +79,7 @@
         zone: heartbeat.zone.clone(),
         spot: heartbeat.spot,
         endpoint: heartbeat.endpoint.clone(),
-        retiring: false,
+        releasing: false,
         images: Vec::new(),
     };
     let unregistered = UnregisteredMachine {
@@ -103,7 +103,9 @@
         context.registrations.wait_for_item();
         std::thread::sleep(BATCHING_WINDOW);
         // Machines that arrive before the tokens are granted join the same transaction.
-        let tokens = context.store.take(RequestPriority::Record, WRITE_TOKENS);
+        let tokens = context
+            .store
+            .take_tokens(RequestPriority::MachineRecord, WRITE_TOKENS);
         let max_machines = context.controller.lock().config.machines_per_batch();
         let waiting = context.registrations.take_oldest(max_machines);
         match tokens {
@@ -137,7 +139,7 @@
         if attempt > 0
             && context
                 .store
-                .take(RequestPriority::Record, WRITE_TOKENS)
+                .take_tokens(RequestPriority::MachineRecord, WRITE_TOKENS)
                 .is_err()
         {
             break;
@@ -173,7 +175,7 @@
 /// Reads the changes in the store: other controllers write machine batches too, and a
 /// transaction that is conditioned on an old head is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::read_changes(context, RequestPriority::Record, Duration::ZERO) {
+    if let Err(e) = watch::read_changes(context, RequestPriority::MachineRecord, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
@@ -283,7 +285,7 @@
     let open = controller
         .cached
         .machine_batches
-        .open(count, max_machines, led_here);
+        .find_with_room(count, max_machines, led_here);
     let head = controller.cached.machine_batch_head;
     match open {
         Some((number, batch, revision)) => TargetBatch {
@@ -340,8 +342,8 @@
     registered: &mut BTreeSet<MachineId>,
     limit: usize,
 ) {
-    batch.fit(limit);
-    while batch.bytes() > limit
+    batch.trim_images(limit);
+    while batch.size_bytes() > limit
         && let Some(id) = registered.pop_last()
     {
         batch.machines.remove(&id);
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -4,7 +4,7 @@
 use super::RequestOutcome;
 use crate::fencing_token::read_fencing_token_counter;
 use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, decode_machine_batch};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::{
     FencingTokenCounter, MachineRecord, machine_batch_key, shard_leader_key,
 };
@@ -47,7 +47,7 @@
     shard_revision: Revision,
     machines: Vec<MachineId>,
     /// The changed machine batches, as they are after the transaction.
-    machine_batches: Vec<MachineBatchAfter>,
+    machine_batches: Vec<MachineBatchUpdate>,
     transaction: Transaction,
 }
 
@@ -89,7 +89,10 @@
         Destination::Shard(_) => 1,
         Destination::Cloud => 0,
     };
-    let max_batches = controller.config.batch_ops.saturating_sub(token_writes);
+    let max_batches = controller
+        .config
+        .max_batch_operations
+        .saturating_sub(token_writes);
     (by_batch.into_values().collect(), max_batches.max(1))
 }
 
@@ -143,7 +146,7 @@
         .find(|(_, led)| ids.iter().any(|id| may_leave(led, id)))?;
     let fencing_token = counter.value.next();
     let records = records_to_write(led, ids, to, fencing_token);
-    led.state.disturb();
+    led.state.invalidate_plan();
     let mut transaction = Transaction::default().when(shard_leader_key(*shard), led.revision);
     if let Destination::Shard(_) = to {
         let next_counter = FencingTokenCounter {
@@ -153,7 +156,9 @@
     }
     let limit = config.machine_batch_bytes();
     let (transaction, machine_batches) =
-        cached.machine_batches.change(transaction, &records, limit);
+        cached
+            .machine_batches
+            .update_records(transaction, &records, limit);
     Some(PreparedRelease {
         shard: *shard,
         shard_revision: led.revision,
@@ -189,7 +194,7 @@
                 record.shard = to;
                 record.fencing_token = fencing_token;
             }
-            Destination::Cloud => record.retiring = true,
+            Destination::Cloud => record.releasing = true,
         }
         records.insert(id.clone(), Some(record));
     }
@@ -239,8 +244,8 @@
     if let Some(led) = controller.led_shards.get_mut(&shard)
         && let Some(machine) = led.state.machines.get_mut(id)
     {
-        machine.leaving = machine.record.retiring;
-        led.state.disturb();
+        machine.leaving = machine.record.releasing;
+        led.state.invalidate_plan();
     }
 }
 
@@ -287,7 +292,7 @@
     let Some(batch) = decode_machine_batch(&item.value, &key) else {
         return FenceOutcome::Done;
     };
-    let still_here = |record: &MachineRecord| record.shard == shard && !record.retiring;
+    let still_here = |record: &MachineRecord| record.shard == shard && !record.releasing;
     if !batch.machines.get(id).is_some_and(still_here) {
         context.put_machine_batches(vec![(number, Some(batch))], item.revision);
         return FenceOutcome::Done;
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -5,7 +5,7 @@
 use crate::batch_queue::Mailbox;
 use crate::clock::Clock;
 use parking_lot::{Condvar, Mutex};
-use pulleywood_protocol::machine_batch::MachineBatchAfter;
+use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::peer::Digest;
 use pulleywood_protocol::record::LeaseHolder;
 use pulleywood_protocol::settings::Settings;
@@ -91,7 +91,11 @@
 
     /// Applies machine batches that a transaction of this controller wrote, or that were
     /// read at this revision.
-    pub fn put_machine_batches(&self, machine_batches: Vec<MachineBatchAfter>, revision: Revision) {
+    pub fn put_machine_batches(
+        &self,
+        machine_batches: Vec<MachineBatchUpdate>,
+        revision: Revision,
+    ) {
         let now = self.clock.now();
         let mut controller = self.controller.lock();
         controller.put_machine_batches(machine_batches, revision, now);
@@ -100,18 +104,18 @@
     /// Makes the next digest that this controller sends to its peers.
     pub fn digest(&self) -> Digest {
         let now = self.clock.now();
-        let state_ok = self.store.answers();
+        let state_ok = self.store.is_available();
         let mut controller = self.controller.lock();
         Digest {
             member: self.controller_id.clone(),
             boot: self.boot,
             seq: self.last_digest_seq.fetch_add(1, Ordering::Relaxed) + 1,
-            state_ok,
-            fit: controller.cache_loaded
+            store_reachable: state_ok,
+            ready_to_lead: controller.cache_loaded
                 && controller.lease.lease_id.is_some()
                 && state_ok
                 && now >= controller.acquire_backoff.until,
-            refusing: self.refused_recently(now),
+            refusing_submissions: self.refused_recently(now),
             serving: controller.serving(now),
             shards: controller.led_shard_digests(now),
         }
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -3,11 +3,11 @@
 use super::{CachedState, LedShard, SessionLease};
 use pulleywood_protocol::peer::{Digest, ShardDigest};
 use pulleywood_protocol::record::JobRecord;
-use pulleywood_protocol::time::{secs, surely_within};
+use pulleywood_protocol::time::{remote_duration_lower_bound, secs};
 use pulleywood_protocol::{
     FencingToken, JobId, JobSpec, MachineId, MemberId, MonotonicTime, Revision, ShardId,
 };
-use pulleywood_recovery::counter::Shown;
+use pulleywood_recovery::counter::ObservedToken;
 use pulleywood_scheduler::machine_types::MachineTypeDemand;
 use pulleywood_scheduler::{Config, shard_selection};
 use std::collections::{BTreeMap, VecDeque};
@@ -58,7 +58,8 @@
 struct AcceptedWork {
     accepted_at: MonotonicTime,
     shard: ShardId,
-    /// Number of machines that the work would fill, as [`shard_selection::size`] measures it.
+    /// Number of machines that the work would fill, as
+    /// [`shard_selection::size_in_machines`] measures it.
     size: f64,
 }
 
@@ -89,7 +90,7 @@
     pub own_writes: BTreeMap<JobId, Revision>,
     /// Fencing tokens that machines of led shards have seen and that are higher than their
     /// shard's.
-    pub higher_fencing_tokens: BTreeMap<MachineId, Shown>,
+    pub higher_fencing_tokens: BTreeMap<MachineId, ObservedToken>,
     /// Sets of machine types that waiting work of all shards could recently use.
     pub(super) machine_type_demand: MachineTypeDemand,
     /// Boot numbers of peers' processes that have been replaced by newer ones.
@@ -131,7 +132,7 @@
     /// lease ends here before it ends in the store.
     pub fn lease_end(&self) -> MonotonicTime {
         match self.lease.lease_id {
-            Some(_) => self.lease.renewed_at + surely_within(self.lease_ttl()),
+            Some(_) => self.lease.renewed_at + remote_duration_lower_bound(self.lease_ttl()),
             None => MonotonicTime::default(),
         }
     }
@@ -154,7 +155,7 @@
     /// in time, because workers' leases expire before the cancellation is due.
     pub fn may_answer(&self, now: MonotonicTime) -> bool {
         let contact = self.lease.renewed_at.min(self.cache_current_as_of);
-        self.cache_loaded && now < contact + self.config.answer_span()
+        self.cache_loaded && now < contact + self.config.response_window()
     }
 
     /// Shards for which this controller answers workers, with their fencing tokens.
@@ -185,7 +186,7 @@
     pub fn suspend_launches(&mut self, jobs: &[JobId], until: MonotonicTime) {
         for led in self.led_shards.values_mut() {
             for id in jobs {
-                led.state.cancelling(id, until);
+                led.state.hold_for_cancellation(id, until);
             }
         }
     }
@@ -197,9 +198,9 @@
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) {
-        let shown = Shown {
+        let shown = ObservedToken {
             fencing_token,
-            at: now,
+            received_at: now,
         };
         self.higher_fencing_tokens.insert(machine.clone(), shown);
     }
@@ -223,15 +224,15 @@
         let mut shards = self.fresh_shard_digests(now);
         shards.retain(|shard, _| self.cached.shard_leaders.contains_key(shard));
         let machines = &self.cached.machines;
-        let shard = shard_selection::choose(&config, &spec, &shards, machines, &accepted);
+        let shard = shard_selection::select_shard(&config, &spec, &shards, machines, &accepted);
         let mut record = JobRecord {
             spec,
-            at_ms,
+            accepted_at_ms: at_ms,
             shard,
             transferred: Vec::new(),
             done: String::new(),
         };
-        shard_selection::spread(&config, &mut record, &shards, machines, &accepted);
+        shard_selection::transfer_spread_tasks(&config, &mut record, &shards, machines, &accepted);
         self.note_accepted_job(&config, &record, now);
         record
     }
@@ -248,7 +249,7 @@
     }
 
     fn note_accepted_job(&mut self, config: &Config, record: &JobRecord, now: MonotonicTime) {
-        let size = shard_selection::size(config, &record.spec);
+        let size = shard_selection::size_in_machines(config, &record.spec);
         let task_size = size / f64::from(record.spec.tasks.max(1));
         let mut remaining = size;
         for transfer in &record.transferred {
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -54,18 +54,20 @@
         let shards = fresh.flat_map(|received| &received.digest.shards);
         for demand in shards.flat_map(|shard| &shard.demand) {
             self.machine_type_demand
-                .note(machine_types::of_demand(config, demand), now);
+                .record_waiting(machine_types::of_demand(config, demand), now);
         }
         for led in self.led_shards.values() {
             let jobs = led.state.jobs.values();
             for job in jobs.filter(|job| !job.waiting.is_empty()) {
                 self.machine_type_demand
-                    .note(machine_types::of_job(config, &job.spec), now);
+                    .record_waiting(machine_types::of_job(config, &job.spec), now);
             }
         }
-        self.machine_type_demand.forget(now);
+        self.machine_type_demand.remove_expired(now);
         for led in self.led_shards.values_mut() {
-            led.state.choices.clone_from(&self.machine_type_demand);
+            led.state
+                .machine_type_demand
+                .clone_from(&self.machine_type_demand);
         }
     }
 
@@ -138,7 +140,7 @@
         now: MonotonicTime,
         serving: &[(ShardId, FencingToken)],
     ) {
-        let expiry = self.config.lease_surely_expired();
+        let expiry = self.config.lease_expiry_bound();
         for (shard, led) in &mut self.led_shards {
             if let Some(previous) = &led.previous_leader
                 && previous.member == *peer
@@ -163,7 +165,7 @@
                 .filter(|shard_digest| !self.led_shards.contains_key(&shard_digest.shard))
             {
                 for (team, slots) in &shard_digest.used {
-                    pulleywood_scheduler::resources::add(
+                    pulleywood_scheduler::resources::add_slots(
                         used_by_others.entry(team.clone()).or_default(),
                         *slots,
                     );
@@ -171,7 +173,7 @@
             }
         }
         for led in self.led_shards.values_mut() {
-            led.state.elsewhere.clone_from(&used_by_others);
+            led.state.usage_in_other_shards.clone_from(&used_by_others);
         }
     }
 }
--- a/crates/pulleywood-controller/src/state/events.rs
+++ b/crates/pulleywood-controller/src/state/events.rs
@@ -154,7 +154,7 @@
             JobEntry::Record(record) => {
                 self.cached.jobs_with_own_record.insert(id.clone());
                 let mut done = TaskSet::new();
-                done.add_chunk(&record.done, 0, self.config.chunk, record.spec.tasks);
+                done.add_chunk(&record.done, 0, self.config.chunk_tasks, record.spec.tasks);
                 self.cached.live_jobs.insert(id.clone(), done.len());
             }
             JobEntry::Batched(_) | JobEntry::Chunk(..) => {}
@@ -255,8 +255,8 @@
         self.end_jobs_removed_from_batches(now);
         self.cached.store_revision = self.cached.store_revision.max(store_revision);
         let complete_to = self.cached.store_revision;
-        self.cached.job_batches.forget(complete_to);
-        self.cached.machine_batches.forget(complete_to);
+        self.cached.job_batches.forget_deleted(complete_to);
+        self.cached.machine_batches.forget_deleted(complete_to);
         self.own_writes.retain(|_, at| at.0 > complete_to);
     }
 
@@ -272,7 +272,7 @@
         }
         if let Some(led) = self.led_shards.get_mut(&shard) {
             led.state.quotas = record.clone();
-            led.state.disturb();
+            led.state.invalidate_plan();
         }
         self.cached
             .quotas
@@ -290,7 +290,7 @@
         let Some(changed) = self.cached.machine_batches.put(number, record, revision) else {
             return;
         };
-        for (id, record) in changed.held {
+        for (id, record) in changed.present {
             self.cached.unreadable_machines.remove(&id);
             self.put_machine(&id, record, revision, now);
         }
@@ -298,11 +298,11 @@
             let unreadable = machine_batch.unreadable.keys().cloned();
             self.cached.unreadable_machines.extend(unreadable);
         }
-        for id in changed.gone {
+        for id in changed.removed {
             self.cached.unreadable_machines.remove(&id);
             self.cached.machines.remove(&id);
             for led in self.led_shards.values_mut() {
-                led.state.drop_machine(&id);
+                led.state.remove_machine(&id);
             }
         }
     }
@@ -337,7 +337,7 @@
                 // it is idle. A shard that was just loaded may have a newer record than the
                 // watch: if an older record dropped the machine, it would be added again as
                 // one on which no previous leader launched anything.
-                led.state.drop_machine(id);
+                led.state.remove_machine(id);
             }
         }
         self.cached.machines.insert(id.clone(), (record, revision));
--- a/crates/pulleywood-controller/src/state/linearizable_reads.rs
+++ b/crates/pulleywood-controller/src/state/linearizable_reads.rs
@@ -52,7 +52,7 @@
                 .wait_until(&mut state, deadline)
                 .timed_out()
             {
-                return Err(StoreError::Unknown(format!(
+                return Err(StoreError::OutcomeUnknown(format!(
                     "no read of the store within {} ms",
                     READ_TIMEOUT.as_millis()
                 )));
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -62,12 +62,12 @@
             JobEntry::Chunk(number, record) => {
                 self.state.put_chunk(id, *number, record, revision, config)
             }
-            JobEntry::Unreadable => self.state.block_job(id),
+            JobEntry::Unreadable => self.state.mark_job_unreadable(id),
             JobEntry::Ended => {
                 let blocked = self.state.unreadable_jobs.contains(id);
                 let is_older = |job: &Job| job.revision < revision;
                 if blocked || self.state.jobs.get(id).is_some_and(is_older) {
-                    self.state.drop_job(id);
+                    self.state.remove_job(id);
                 }
             }
         }
@@ -93,7 +93,7 @@
 pub fn decode_job_batch(value: &cbor::Value, path: &str) -> Option<JobBatchRecord> {
     let batch = log_unreadable(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
-        let id = pulleywood_protocol::job_batch::job_id(record);
+        let id = pulleywood_protocol::job_batch::unreadable_job_id(record);
         let name = id.map_or("of unknown id".to_owned(), |id| id.to_string());
         log::error!("failed to decode job {name} in job batch {path}");
     }
--- a/crates/pulleywood-controller/src/state/tests.rs
+++ b/crates/pulleywood-controller/src/state/tests.rs
@@ -44,9 +44,9 @@
         member: "c-1".into(),
         boot,
         seq,
-        state_ok: true,
-        fit: true,
-        refusing: false,
+        store_reachable: true,
+        ready_to_lead: true,
+        refusing_submissions: false,
         serving,
         shards: vec![],
     }
@@ -55,7 +55,7 @@
 /// Makes the controller the leader of shard 0 since second 10, under fencing token 4. The
 /// previous leader is process 7 of `c-1`, under fencing token 3.
 fn lead_shard(controller: &mut ControllerState) {
-    let until = at(10) + controller.config.previous_leader_span();
+    let until = at(10) + controller.config.previous_leader_window();
     let state = ShardState::new(ShardId(0), FencingToken(4), until, vec![]);
     let previous = LeaseHolder {
         member: "c-1".into(),
@@ -79,8 +79,8 @@
 fn only_a_response_requested_after_acquisition_confirms_that_the_previous_leader_stopped() {
     // A digest from before the peer led the shard lists the same shards as one from after
     // it stopped, and the network may deliver it late.
-    let one_lease = at(11) + controller().config.lease_surely_expired();
-    let unconfirmed = at(10) + controller().config.previous_leader_span();
+    let one_lease = at(11) + controller().config.lease_expiry_bound();
+    let unconfirmed = at(10) + controller().config.previous_leader_window();
     type Apply = fn(&mut ControllerState);
     let cases: [(&str, Apply, MonotonicTime); 4] = [
         (
@@ -161,7 +161,7 @@
             zone: "a".into(),
             spot: false,
             endpoint: "10.0.0.1:1".into(),
-            retiring: false,
+            releasing: false,
             images: vec![],
         };
         let state = &mut controller.led_shards.get_mut(&ShardId(0)).unwrap().state;
@@ -200,7 +200,7 @@
     });
     JobRecord {
         spec: serde_json::from_value(spec).unwrap(),
-        at_ms: 0,
+        accepted_at_ms: 0,
         shard: ShardId(0),
         transferred: vec![],
         done: String::new(),
@@ -382,7 +382,10 @@
     controller.lease.lease_id = Some(LeaseId(1));
     controller.lease.renewed_at = at(0);
     controller.cache_current_as_of = at(0);
-    let (lease, cancel) = (controller.config.lease, controller.config.cancel);
+    let (lease, cancel) = (
+        controller.config.lease,
+        controller.config.cancellation_limit,
+    );
     let last = (0..100_000)
         .map(|ms| at(0) + Duration::from_millis(ms))
         .take_while(|&time| controller.may_answer(time))
@@ -439,21 +442,21 @@
             let mut controller = controller();
             let config = Arc::make_mut(&mut controller.config);
             config.lease = secs(lease);
-            config.cancel = secs(cancel);
+            config.cancellation_limit = secs(cancel);
             controller.cache_loaded = true;
             controller.lease.lease_id = Some(LeaseId(1));
             controller.lease.renewed_at = at(renewed);
             controller.cache_current_as_of = at(read);
             let contact = at(100);
-            let cancelled_by = contact + controller.config.cancel;
-            let span = controller.config.answer_span();
+            let cancelled_by = contact + controller.config.cancellation_limit;
+            let span = controller.config.response_window();
             let name = format!("lease {lease}, cancel {cancel}, renewed {renewed}, read {read}");
             assert!(!controller.may_answer(contact + span), "{name}");
             if span > Duration::ZERO {
                 let last = contact + span - Duration::from_millis(1);
                 assert!(controller.may_answer(last), "{name}");
                 // Clock drift and the time that a response takes are covered.
-                let killed_by = last + controller.config.lease_surely_expired();
+                let killed_by = last + controller.config.lease_expiry_bound();
                 assert!(killed_by < cancelled_by, "{name}");
                 // The span is shorter than the limit allows by no more than the margins.
                 let unused_s = cancelled_by
--- a/crates/pulleywood-controller/src/watch.rs
+++ b/crates/pulleywood-controller/src/watch.rs
@@ -6,7 +6,7 @@
     decode_record,
 };
 use pulleywood_protocol::record::{
-    FinalRecord, JOB_BATCHES, LIVE, MACHINE_BATCHES, WATCHED, closed_job, job_key,
+    FinalRecord, JOB_BATCHES, LIVE_PREFIX, MACHINE_BATCHES, WATCH_PREFIX, job_key, job_of_final_key,
 };
 use pulleywood_protocol::store::{Event, Item};
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime, Revision, ShardId};
@@ -25,19 +25,19 @@
     let reads = &context.linearizable_reads;
     loop {
         let newest_query = reads.wait_for_query();
-        let result = read_changes(context, RequestPriority::Question, Duration::ZERO);
+        let result = read_changes(context, RequestPriority::UserRead, Duration::ZERO);
         if let Err(e) = &result {
             log::debug!("failed to read the changes of the store for users' queries: {e}");
         }
         reads.finish_read(newest_query, result.as_ref().map(|_| ()));
-        std::thread::sleep(context.poll_intervals.question);
+        std::thread::sleep(context.poll_intervals.user_read);
     }
 }
 
 /// Reads the changes since the revision of the cached state and applies them. Afterwards the
 /// cached state contains every commit from before this call. If there is no change, the store
-/// waits up to `timeout` for one. Returns whether anything changed, or [`StoreError::TooOld`]
-/// if all keys must be read again.
+/// waits up to `timeout` for one. Returns whether anything changed, or
+/// [`StoreError::RevisionTooOld`] if all keys must be read again.
 pub fn read_changes(
     context: &Arc<ControllerContext>,
     priority: RequestPriority,
@@ -46,12 +46,12 @@
     let from = {
         let controller = context.controller.lock();
         if !controller.cache_loaded {
-            return Err(StoreError::TooOld);
+            return Err(StoreError::RevisionTooOld);
         }
         controller.cached.store_revision
     };
     let sent = context.clock.now();
-    let response = context.store.watch(priority, WATCHED, from, timeout)?;
+    let response = context.store.watch(priority, WATCH_PREFIX, from, timeout)?;
     cache_final_states(context, &response.events);
     let now = context.clock.now();
     let mut controller = context.controller.lock();
@@ -80,7 +80,7 @@
     let mut final_states = context.final_states.lock();
     for event in events {
         if let Some(path) = &event.write
-            && let Some(id) = closed_job(path)
+            && let Some(id) = job_of_final_key(path)
             && let Some(state) = decode_record::<FinalRecord>(event.value.as_ref(), path)
         {
             final_states.insert(&id, state);
@@ -95,7 +95,7 @@
             // The pause bounds the request rate: changes accumulate until the next request.
             Ok(true) => std::thread::sleep(context.poll_intervals.watch),
             Ok(false) => {}
-            Err(StoreError::TooOld) => {
+            Err(StoreError::RevisionTooOld) => {
                 log::debug!(
                     "started to read all watched keys: the cached state is missing or too old"
                 );
@@ -115,7 +115,9 @@
 /// Reads all watched keys and replaces the cached state.
 fn reload(context: &Arc<ControllerContext>) -> Result<(), StoreError> {
     let sent = context.clock.now();
-    let (items, store_revision) = context.store.list(RequestPriority::ShardLeader, LIVE)?;
+    let (items, store_revision) = context
+        .store
+        .list(RequestPriority::ShardLeader, LIVE_PREFIX)?;
     let now = context.clock.now();
     let mut controller = context.controller.lock();
     let is_first_read = !controller.cache_loaded;
@@ -186,7 +188,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in missing {
-            led.state.drop_machine(&id);
+            led.state.remove_machine(&id);
         }
     }
 }
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -17,7 +17,7 @@
 use pulleywood_protocol::{FencingToken, JobId, JobSpec, MachineId, ShardId, TaskId};
 use pulleywood_testkit::history::{Expected, check};
 use pulleywood_testkit::samples;
-use pulleywood_transport::cloud::show;
+use pulleywood_transport::cloud::fetch_heartbeat;
 use std::collections::BTreeSet;
 use std::process::{Command, Output};
 use std::time::Duration;
@@ -119,7 +119,9 @@
         .flat_map(|batch| MachineBatchRecord::from_value(batch).unwrap().machines);
     let tokens = records.map(|(_, record)| {
         let address = record.endpoint.parse().unwrap();
-        show(address, Duration::from_secs(5)).unwrap().fencing_token
+        fetch_heartbeat(address, Duration::from_secs(5))
+            .unwrap()
+            .fencing_token
     });
     tokens.max().unwrap()
 }
@@ -241,7 +243,7 @@
             incarnation: 1,
             seq: 1,
             fencing_token: FencingToken(fencing_token),
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: vec![],
         };
         let body = cbor::encode(&heartbeat);
--- a/crates/pulleywood-controller/tests/scale.rs
+++ b/crates/pulleywood-controller/tests/scale.rs
@@ -40,7 +40,7 @@
             incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: vec![],
         },
         clients: cluster.serve_on[..controllers]
--- a/crates/pulleywood-protocol/tests/outer_names.rs
+++ b/crates/pulleywood-protocol/tests/outer_names.rs
@@ -1,17 +1,18 @@
-//! `docs/outer-names.txt` lists every serde name of this crate's sources, the settings included.
+//! `docs/outer-names.txt` lists all names with which the types of this crate, settings
+//! included, are serialized.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use syn::{Attribute, Fields, Item, ItemEnum, LitStr};
 
-/// How the container renames its fields or variants.
+/// How a type renames its fields or variants.
 #[derive(Clone, Copy, PartialEq)]
 enum Case {
     AsWritten,
     Snake,
 }
 
-/// What the serde attributes of a type, field or variant say about its name.
+/// The serde attributes of a type, field or variant that determine its serialized name.
 struct SerdeAttributes {
     rename: Option<String>,
     case: Case,
@@ -21,9 +22,9 @@
 }
 
 impl SerdeAttributes {
-    /// Fails for an attribute that it does not know, which may change a name.
+    /// Panics on an unknown attribute, since it may change a name.
     fn read(attributes: &[Attribute]) -> SerdeAttributes {
-        let mut found = SerdeAttributes {
+        let mut serde_attributes = SerdeAttributes {
             rename: None,
             case: Case::AsWritten,
             tag: None,
@@ -38,11 +39,13 @@
                     Err(_) => None,
                 };
                 match (key.as_str(), value) {
-                    ("rename", Some(name)) => found.rename = Some(name),
-                    ("rename_all", Some(case)) if case == "snake_case" => found.case = Case::Snake,
-                    ("tag", Some(name)) => found.tag = Some(name),
-                    ("skip", None) => found.skipped = true,
-                    ("untagged", None) => found.untagged = true,
+                    ("rename", Some(name)) => serde_attributes.rename = Some(name),
+                    ("rename_all", Some(case)) if case == "snake_case" => {
+                        serde_attributes.case = Case::Snake
+                    }
+                    ("tag", Some(name)) => serde_attributes.tag = Some(name),
+                    ("skip", None) => serde_attributes.skipped = true,
+                    ("untagged", None) => serde_attributes.untagged = true,
                     ("default" | "skip_serializing_if" | "from" | "into" | "try_from", _)
                     | ("other" | "transparent", None) => {}
                     (key, _) => return Err(meta.error(format!("unknown serde attribute {key}"))),
@@ -51,10 +54,10 @@
             });
             parsed.unwrap();
         }
-        found
+        serde_attributes
     }
 
-    /// The name written out for an item that the source calls `name`.
+    /// The serialized name of a field or variant that the source calls `name`.
     fn outer_name(&self, name: &str, container: Case) -> String {
         match (&self.rename, container) {
             (Some(renamed), _) => renamed.clone(),
@@ -66,27 +69,28 @@
 
 fn snake_case(name: &str) -> String {
     let mut snake = String::new();
-    for c in name.chars() {
-        if c.is_ascii_uppercase() && !snake.is_empty() {
+    for character in name.chars() {
+        if character.is_ascii_uppercase() && !snake.is_empty() {
             snake.push('_');
         }
-        snake.push(c.to_ascii_lowercase());
+        snake.push(character.to_ascii_lowercase());
     }
     snake
 }
 
+/// Whether the type derives `Serialize` or `Deserialize`.
 fn is_serialized(attributes: &[Attribute]) -> bool {
     let derives = attributes.iter().filter(|a| a.path().is_ident("derive"));
-    let mut found = false;
+    let mut is_derived = false;
     for derive in derives {
         let parsed = derive.parse_nested_meta(|meta| {
             let name = &meta.path.segments.last().unwrap().ident;
-            found |= name == "Serialize" || name == "Deserialize";
+            is_derived |= name == "Serialize" || name == "Deserialize";
             Ok(())
         });
         parsed.unwrap();
     }
-    found
+    is_derived
 }
 
 fn field_names(fields: &Fields, container: Case, names: &mut BTreeSet<String>) {
@@ -108,7 +112,7 @@
     }
 }
 
-/// The names that the serialized types of one source file are written with.
+/// The serialized names of the fields and variants of all types in a source file.
 fn outer_names(source: &str) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for item in syn::parse_file(source).unwrap().items {
@@ -146,10 +150,10 @@
     let listed: BTreeSet<&str> = list.lines().filter(|l| !l.starts_with('#')).collect();
     let mut files = Vec::new();
     source_files(&crate_folder.join("src"), &mut files);
-    let mut found = 0;
+    let mut name_count = 0;
     for file in files {
         for name in outer_names(&std::fs::read_to_string(&file).unwrap()) {
-            found += 1;
+            name_count += 1;
             let is_listed = listed.contains(name.as_str());
             assert!(
                 is_listed,
@@ -158,7 +162,7 @@
             );
         }
     }
-    assert!(found > 200, "only {found} names found");
+    assert!(name_count > 200, "only {name_count} names found");
 }
 
 #[test]
--- a/crates/pulleywood-recovery/tests/common/mod.rs
+++ b/crates/pulleywood-recovery/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Stored records, heartbeats and settings for the tests of this crate.
-#![allow(dead_code, reason = "each test file uses its share")]
+//! Sample records, heartbeats and settings for the tests of this crate.
+#![allow(dead_code, reason = "each test file uses some of the helpers")]
 
 use pulleywood_protocol::cbor::{self};
 use pulleywood_protocol::machine_batch::MachineBatchRecord;
@@ -16,25 +16,25 @@
 use pulleywood_testkit::samples;
 pub use pulleywood_testkit::samples::job_record;
 
-/// The last fencing token issued, and the one of each shard's leader.
-pub const FENCING_TOKEN_NOW: FencingToken = FencingToken(9);
+/// The last fencing token issued, under which each shard is led.
+pub const CURRENT_FENCING_TOKEN: FencingToken = FencingToken(9);
 pub const SHARDS: u32 = 2;
-pub const CHUNK: u32 = 1024;
+pub const CHUNK_SIZE: u32 = 1024;
 
 pub fn config() -> Config {
     samples::config(SHARDS)
 }
 
-pub fn job_id(n: u64) -> JobId {
-    JobId::parse(&format!("j-{n}")).unwrap()
+pub fn job_id(number: u64) -> JobId {
+    JobId::parse(&format!("j-{number}")).unwrap()
 }
 
-pub fn machine_id(n: usize) -> MachineId {
-    MachineId::from(format!("vm-{n:06}").as_str())
+pub fn machine_id(number: usize) -> MachineId {
+    MachineId::from(format!("vm-{number:06}").as_str())
 }
 
-pub fn spec(n: u64, tasks: u32) -> JobSpec {
-    samples::spec(job_id(n), tasks)
+pub fn spec(job: u64, tasks: u32) -> JobSpec {
+    samples::spec(job_id(job), tasks)
 }
 
 pub fn machine(shard: u32) -> MachineRecord {
@@ -55,23 +55,23 @@
     item(job_key(id.shard(SHARDS), id), record)
 }
 
-pub fn machine_batch_item(n: u64, machines: &[(usize, MachineRecord)]) -> Item {
+pub fn machine_batch_item(number: u64, machines: &[(usize, MachineRecord)]) -> Item {
     let machines = machines.iter().map(|(n, m)| (machine_id(*n), m.clone()));
     let machine_batch = MachineBatchRecord {
         machines: machines.collect(),
         ..Default::default()
     };
-    item(machine_batch_key(n), &machine_batch)
+    item(machine_batch_key(number), &machine_batch)
 }
 
-/// The layout, the fencing-token counter and the leaders of each shard.
+/// The layout, the fencing-token counter, and the current and previous leader of each shard.
 pub fn base_items() -> Vec<Item> {
     let mut items = vec![
         item(LAYOUT.into(), &Layout { shards: SHARDS }),
         item(
             FENCING_TOKEN.into(),
             &FencingTokenCounter {
-                last: FENCING_TOKEN_NOW,
+                last: CURRENT_FENCING_TOKEN,
             },
         ),
     ];
@@ -79,20 +79,20 @@
         let holder = LeaseHolder {
             member: "c-0".into(),
             boot: 1,
-            fencing_token: FENCING_TOKEN_NOW,
+            fencing_token: CURRENT_FENCING_TOKEN,
         };
         items.push(item(shard_leader_key(shard), &holder));
-        let settled = true;
+        let reconciled = true;
         items.push(item(
             previous_leader_key(shard),
-            &PreviousLeaseHolder { holder, settled },
+            &PreviousLeaseHolder { holder, reconciled },
         ));
     }
     items
 }
 
-pub fn task(n: u64, index: u32) -> TaskId {
-    let job = job_id(n);
+pub fn task(job: u64, index: u32) -> TaskId {
+    let job = job_id(job);
     TaskId { job, index }
 }
 
@@ -100,20 +100,20 @@
     Attempt::from_parts(FencingToken(fencing_token), counter).unwrap()
 }
 
-pub fn seen(n: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
+pub fn reported(job: u64, index: u32, attempt: Attempt, state: TaskState) -> TaskStatus {
     TaskStatus {
-        task: task(n, index),
+        task: task(job, index),
         attempt,
         state,
         cause: None,
-        stored: None,
+        progress_saved: None,
     }
 }
 
-pub fn exited(n: u64, index: u32, attempt: Attempt, cause: Cause) -> TaskStatus {
+pub fn exited(job: u64, index: u32, attempt: Attempt, cause: Cause) -> TaskStatus {
     TaskStatus {
         cause: Some(cause),
-        ..seen(n, index, attempt, TaskState::Exited)
+        ..reported(job, index, attempt, TaskState::Exited)
     }
 }
 
@@ -127,11 +127,12 @@
         incarnation: 1,
         seq: 1,
         fencing_token,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
 
-pub fn at(s: u64) -> MonotonicTime {
-    MonotonicTime(3_600_000 + s * 1000)
+/// A time this many seconds after an arbitrary start.
+pub fn at(seconds: u64) -> MonotonicTime {
+    MonotonicTime(3_600_000 + seconds * 1000)
 }
--- a/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
+++ b/crates/pulleywood-scheduler/src/fleet/bin_packing.rs
@@ -52,7 +52,7 @@
         if !free.fits(&tasks.need) || !allows(tasks.demand, &bin.kind) {
             continue;
         }
-        let count = free.times(&tasks.need).min(remaining);
+        let count = free.max_copies(&tasks.need).min(remaining);
         add_tasks(bin, tasks, count);
         remaining -= count;
     }
@@ -86,7 +86,7 @@
 }
 
 fn concurrent_tasks_in(bin: &Bin, tasks: &PendingTasks<'_>) -> f64 {
-    f64::from(bin.capacity.times(&tasks.need)) * (1.0 - bin.pinned_share).max(0.0)
+    f64::from(bin.capacity.max_copies(&tasks.need)) * (1.0 - bin.pinned_share).max(0.0)
 }
 
 /// Queues tasks that run for less time than a boot takes. A machine that is up or
@@ -99,7 +99,7 @@
     mut remaining: u32,
     is_eligible: impl Fn(&Bin) -> bool,
 ) -> u32 {
-    if tasks.demand.work_s <= 0.0 {
+    if tasks.demand.remaining_work_s <= 0.0 {
         return remaining;
     }
     for bin in bins.iter_mut().filter(|bin| is_eligible(bin)) {
@@ -108,7 +108,7 @@
         }
         let flavor = config.flavors.get(&bin.kind.flavor);
         let boot_s = flavor.map_or(0.0, |flavor| flavor.boot_s.0);
-        let further_runs = boot_s / tasks.demand.work_s - 1.0;
+        let further_runs = boot_s / tasks.demand.remaining_work_s - 1.0;
         if further_runs <= 0.0 || !allows(tasks.demand, &bin.kind) {
             continue;
         }
--- a/crates/pulleywood-scheduler/src/fleet/demand.rs
+++ b/crates/pulleywood-scheduler/src/fleet/demand.rs
@@ -45,7 +45,7 @@
     flavor: &Flavor,
 ) -> f64 {
     let capacity = ResourceVector::of_flavor(flavor);
-    let share = |task: &Demand| ResourceVector::of_demand(task).share_of(&capacity);
+    let share = |task: &Demand| ResourceVector::of_demand(task).dominant_share(&capacity);
     let slot_share = share(demand).max(MIN_TASK_SHARE);
     let may_run = |waiting: &&&Demand| {
         let allowed = waiting
@@ -57,7 +57,9 @@
     waiting_demand
         .iter()
         .filter(may_run)
-        .map(|waiting| f64::from(waiting.count) * waiting.work_s * share(waiting) / slot_share)
+        .map(|waiting| {
+            f64::from(waiting.count) * waiting.remaining_work_s * share(waiting) / slot_share
+        })
         .sum()
 }
 
--- a/crates/pulleywood-scheduler/src/fleet/rebalance.rs
+++ b/crates/pulleywood-scheduler/src/fleet/rebalance.rs
@@ -45,7 +45,7 @@
                 && bin.packed_tasks == 0
                 && bin.is_idle
                 && tasks.may_use(bin)
-                && (!tasks.demand.free || is_in_zone_of(self.config, shard, bin))
+                && (!tasks.demand.any_shard || is_in_zone_of(self.config, shard, bin))
                 && bin.free.fits(&tasks.need)
                 && allows(tasks.demand, &bin.kind)
                 && (bin.machine.as_ref())
@@ -62,7 +62,7 @@
         mut remaining: u32,
         free_in: fn(&Bin, Rank) -> ResourceVector,
     ) -> u32 {
-        if !tasks.demand.free || remaining == 0 {
+        if !tasks.demand.any_shard || remaining == 0 {
             return remaining;
         }
         for other in self.snapshot.shards.keys().filter(|other| **other != shard) {
@@ -92,6 +92,6 @@
 /// isolates a zone, its machines are in the same zone as their shard's leader.
 fn is_in_zone_of(config: &Config, shard: ShardId, bin: &Bin) -> bool {
     config
-        .zone_of(shard)
+        .preferred_zone(shard)
         .is_none_or(|zone| zone == bin.kind.zone)
 }
--- a/crates/pulleywood-scheduler/src/fleet/scale_out.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_out.rs
@@ -63,7 +63,7 @@
             return;
         }
         let shards = self.snapshot.shards;
-        for demand in shards.values().flat_map(|digest| &digest.displaced) {
+        for demand in shards.values().flat_map(|digest| &digest.displaced_demand) {
             let tasks = self.pending_tasks(demand);
             if !tasks.avoided_types.is_empty() {
                 self.rent_other_types(&tasks);
@@ -139,7 +139,9 @@
         let mut cheapest: Option<(f64, MachineKind, &'a Flavor)> = None;
         for flavor in self.config.flavors.values() {
             let capacity = ResourceVector::of_flavor(flavor);
-            let tasks_per_machine = capacity.times(&tasks.need).min(tasks.demand.count.max(1));
+            let tasks_per_machine = capacity
+                .max_copies(&tasks.need)
+                .min(tasks.demand.count.max(1));
             if tasks_per_machine == 0 {
                 continue;
             }
--- a/crates/pulleywood-scheduler/src/placement/borrowed.rs
+++ b/crates/pulleywood-scheduler/src/placement/borrowed.rs
@@ -8,7 +8,7 @@
 //! that is proportional to its part of the team's total usage.
 
 use crate::config::{Config, Team};
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use crate::shard::ShardState;
 use pulleywood_protocol::JobSpec;
 use pulleywood_protocol::record::Slots;
@@ -79,18 +79,18 @@
         let mut usage_by_team: BTreeMap<&str, Slots> = BTreeMap::new();
         for slot in state.machines.values().flat_map(|m| &m.slots) {
             if let Some(spec) = &slot.spec
-                && slot.holds_room()
-                && slot.stop.is_none()
+                && slot.holds_resources()
+                && slot.stop_grace_s.is_none()
             {
                 let sum = usage_by_team.entry(spec.team.as_str()).or_default();
-                add(sum, ResourceVector::of_task(spec).slots());
+                add_slots(sum, ResourceVector::of_task(spec).slots());
             }
         }
         let by_team = usage_by_team.into_iter().filter_map(|(name, shard_usage)| {
             let team = config.teams.get(name)?;
             let mut total_usage = shard_usage;
-            if let Some(elsewhere) = state.elsewhere.get(name) {
-                add(&mut total_usage, *elsewhere);
+            if let Some(elsewhere) = state.usage_in_other_shards.get(name) {
+                add_slots(&mut total_usage, *elsewhere);
             }
             Some((name, PreemptableUsage::new(team, shard_usage, total_usage)))
         });
--- a/crates/pulleywood-scheduler/src/placement/preempt.rs
+++ b/crates/pulleywood-scheduler/src/placement/preempt.rs
@@ -47,7 +47,7 @@
     pub(super) fn preempt(&mut self, queued: &QueuedJob<'a>) {
         let job = queued.job;
         let spec: &'a JobSpec = &job.spec;
-        let mut tasks_by_zone = self.state.by_zone(job);
+        let mut tasks_by_zone = self.state.task_counts_by_zone(job);
         let planned = self.planned_tasks(queued.job_id, &mut tasks_by_zone);
         let mut usage = self.usage.clone();
         let mut claim = self.claim(spec, &usage);
@@ -74,7 +74,7 @@
                 ..
             }) = cheapest
             else {
-                if job.bound.is_empty() {
+                if job.zone_bindings.is_empty() {
                     return;
                 }
                 // The job's other tasks may be bound to zones that have room.
@@ -97,7 +97,7 @@
 
     fn preemption_request(&self, job: &'a Job, claim: &Claim<'_>) -> PreemptionRequest<'a> {
         let spec = &job.spec;
-        let job_age = self.now.since(self.state.submitted(job));
+        let job_age = self.now.since(self.state.submitted_at(job));
         let transfer_time = self
             .config
             .heartbeat_interval
@@ -105,7 +105,10 @@
         PreemptionRequest {
             job,
             need: ResourceVector::of_task(spec),
-            avoided_types: self.state.choices.left_by_job(self.config, spec),
+            avoided_types: self
+                .state
+                .machine_type_demand
+                .types_to_avoid_for_job(self.config, spec),
             may_preempt: self.may_preempt_any(spec, claim) && !self.capacity_may_return(spec),
             protects_avoided_types: job_age < transfer_time,
         }
@@ -263,8 +266,8 @@
             free += candidate.releasing;
             for slot in candidate.slots {
                 if let Some(victim) = &slot.spec
-                    && slot.stop.is_none()
-                    && slot.holds_room()
+                    && slot.stop_grace_s.is_none()
+                    && slot.holds_resources()
                     && victim.rank < spec.rank
                 {
                     free += ResourceVector::of_task(victim);
--- a/crates/pulleywood-scheduler/src/placement/queue.rs
+++ b/crates/pulleywood-scheduler/src/placement/queue.rs
@@ -2,7 +2,7 @@
 
 use super::SchedulingCycle;
 use crate::config::Config;
-use crate::resources::{ResourceVector, add};
+use crate::resources::{ResourceVector, add_slots};
 use crate::shard::{Job, ShardState};
 use pulleywood_protocol::job::{Rank, Shape};
 use pulleywood_protocol::record::Slots;
@@ -64,10 +64,10 @@
     config: &Config,
 ) -> Queues<'a> {
     let mut queues = Queues::new();
-    let rebuilding = state.rebuilding();
+    let rebuilding = state.is_rebuilding();
     for (id, job) in &state.jobs {
-        let may_run_unseen = rebuilding && state.may_run_unseen(job, config);
-        let is_held = job.health.is_held(now) || now < job.cancelling_until;
+        let may_run_unseen = rebuilding && state.may_run_on_unreported_machine(job, config);
+        let is_held = job.health.is_backing_off(now) || now < job.cancelling_until;
         if job.waiting.is_empty() || is_held || may_run_unseen {
             continue;
         }
@@ -94,14 +94,14 @@
     now: MonotonicTime,
     config: &Config,
 ) {
-    let age_s = now.since(state.submitted(job)).as_secs_f64();
+    let age_s = now.since(state.submitted_at(job)).as_secs_f64();
     let patience_s = config.policy.patience_s;
     let entry = |priority, task_limit, follows_starved_entry| QueuedJob {
         job_id: id,
         job,
         rank: job.spec.rank,
         priority,
-        submitted_at_ms: job.at_ms,
+        submitted_at_ms: job.submitted_at_ms,
         task_limit,
         follows_starved_entry,
         ignores_fair_share: priority == STARVED_PRIORITY
@@ -137,8 +137,8 @@
 /// Returns the priority of serving a job now, which is compared only with jobs of its
 /// rank.
 fn priority(state: &ShardState, job: &Job, now: MonotonicTime, config: &Config) -> f64 {
-    let job_age = now.since(state.submitted(job));
-    let (open_objectives, longest_objective_s) = config.open_objectives(&job.spec, job_age);
+    let job_age = now.since(state.submitted_at(job));
+    let (open_objectives, longest_objective_s) = config.attainable_objectives(&job.spec, job_age);
     if job_age.as_secs_f64() > OVERDUE_OBJECTIVE_FACTOR * longest_objective_s {
         return f64::MAX;
     }
@@ -154,8 +154,8 @@
     usage: &BTreeMap<String, Slots>,
 ) -> Slots {
     let mut sum = usage.get(team).copied().unwrap_or_default();
-    if let Some(&elsewhere) = state.elsewhere.get(team) {
-        add(&mut sum, elsewhere);
+    if let Some(&elsewhere) = state.usage_in_other_shards.get(team) {
+        add_slots(&mut sum, elsewhere);
     }
     sum
 }
@@ -163,7 +163,7 @@
 /// Adds slots to a team's usage.
 pub(super) fn add_usage(usage: &mut BTreeMap<String, Slots>, team: &str, slots: Slots) {
     match usage.get_mut(team) {
-        Some(sum) => add(sum, slots),
+        Some(sum) => add_slots(sum, slots),
         None => drop(usage.insert(team.to_owned(), slots)),
     }
 }
@@ -180,11 +180,11 @@
                 let team = self.config.teams.get(*name);
                 let mut usage = usage_in_all_shards(self.state, name, &self.usage);
                 let weighted_share = self.weighted_share(name, usage);
-                add(
+                add_slots(
                     &mut usage,
                     ResourceVector::of_task(&queued.job.spec).slots(),
                 );
-                let guaranteed = team.is_some_and(|team| team.guarantees(usage));
+                let guaranteed = team.is_some_and(|team| team.guarantee_covers(usage));
                 let precedence = (guaranteed, queued.rank, queued.ignores_fair_share);
                 Some((precedence, weighted_share, *name))
             })
@@ -203,6 +203,6 @@
             gpus: usage.gpus.0,
             memory_gb: 0.0,
         };
-        usage.share_of(&self.capacity) / weight.max(MIN_TEAM_WEIGHT)
+        usage.dominant_share(&self.capacity) / weight.max(MIN_TEAM_WEIGHT)
     }
 }
--- a/crates/pulleywood-scheduler/src/placement/reserve.rs
+++ b/crates/pulleywood-scheduler/src/placement/reserve.rs
@@ -87,7 +87,7 @@
     ) -> Vec<usize> {
         let job = queued.job;
         let need = ResourceVector::of_task(&job.spec);
-        let tasks_by_zone = self.state.by_zone(job);
+        let tasks_by_zone = self.state.task_counts_by_zone(job);
         let mut usable: Vec<(f64, &MachineId, usize)> = self
             .candidates
             .iter()
@@ -100,7 +100,7 @@
             })
             .map(|(candidate_index, candidate)| {
                 (
-                    candidate.free.used_of(&candidate.capacity),
+                    candidate.free.dominant_share_in_use(&candidate.capacity),
                     candidate.id,
                     candidate_index,
                 )
@@ -119,7 +119,7 @@
 /// end by themselves.
 fn capacity_without_services(candidate: &CandidateMachine<'_>) -> ResourceVector {
     let mut capacity = candidate.capacity;
-    for slot in candidate.slots.iter().filter(|slot| slot.holds_room()) {
+    for slot in candidate.slots.iter().filter(|slot| slot.holds_resources()) {
         if let Some(spec) = &slot.spec
             && spec.shape == Shape::Service
         {
--- a/crates/pulleywood-scheduler/src/placement/victims.rs
+++ b/crates/pulleywood-scheduler/src/placement/victims.rs
@@ -77,10 +77,10 @@
     ) -> Vec<Victim> {
         let mut preemptable: Vec<Victim> = Vec::new();
         for (index, slot) in candidate.slots.iter().enumerate() {
-            let Some(victim_spec) = slot.spec.as_ref().filter(|_| slot.holds_room()) else {
+            let Some(victim_spec) = slot.spec.as_ref().filter(|_| slot.holds_resources()) else {
                 continue;
             };
-            let is_stopping = slot.stop.is_some()
+            let is_stopping = slot.stop_grace_s.is_some()
                 || candidate
                     .preemptions
                     .iter()
--- a/crates/pulleywood-scheduler/src/shard/launch.rs
+++ b/crates/pulleywood-scheduler/src/shard/launch.rs
@@ -1,9 +1,9 @@
-//! Answers to heartbeats, and direct commands.
+//! Commands to workers: heartbeat responses and direct commands.
 //!
-//! Invariants: a task is launched only in the answer to a heartbeat, on a machine
-//! whose tasks are known, and never while another attempt of it may run; attempts
-//! are never reused; a done task is cleared only after its commit. Direct commands
-//! carry no launches.
+//! Invariants: a task is launched only in a heartbeat response, on a machine whose
+//! tasks are known, and never while another attempt of it may run; attempts are never
+//! reused; a done task is cleared only after its commit. Direct commands contain no
+//! launches.
 
 use crate::config::Config;
 use crate::shard::fetch_gate::FetchGate;
@@ -16,27 +16,29 @@
 use std::sync::Arc;
 
 impl ShardState {
-    /// Commands for a machine whose heartbeat has just been accepted. `launch`: the
-    /// controller's lease surely lasts until the answer is sent.
-    pub fn answer(
+    /// Returns the commands for a machine whose heartbeat has just been accepted.
+    /// `may_launch`: the controller's lease lasts at least until the response is sent,
+    /// so tasks may be launched.
+    pub fn response_commands(
         &mut self,
         id: &MachineId,
-        launch: bool,
+        may_launch: bool,
         now: MonotonicTime,
         config: &Config,
     ) -> Vec<Command> {
-        let planned = if launch {
+        let planned = if may_launch {
             self.replan(id, now, config);
-            self.plan.remove(id).unwrap_or_default()
+            self.planned_launches.remove(id).unwrap_or_default()
         } else {
             Vec::new()
         };
         let Some(machine) = self.machines.get_mut(id) else {
             return Vec::new();
         };
-        machine.answered = machine.answered.max(Some(now));
-        machine.awaits = Some(machine.newest);
-        let mut commands = standing_commands(&machine.slots, &self.jobs, &self.unreadable_jobs);
+        machine.last_response_at = machine.last_response_at.max(Some(now));
+        machine.unacknowledged_response = Some(machine.last_message);
+        let mut commands =
+            stop_and_clear_commands(&machine.slots, &self.jobs, &self.unreadable_jobs);
         if !machine.accepts_launches() {
             return commands;
         }
@@ -46,32 +48,33 @@
             machine,
             jobs: &mut self.jobs,
             fetch_gate: &mut self.fetch_gate,
-            attempts: &mut self.attempts,
+            attempts_issued: &mut self.attempts_issued,
             now,
         };
         for task in planned {
             match launcher.launch(task) {
-                Launch::Command(command) => commands.push(command),
-                Launch::NotNow => {}
-                Launch::NoAttemptsLeft => break,
+                LaunchOutcome::Command(command) => commands.push(command),
+                LaunchOutcome::Skipped => {}
+                LaunchOutcome::AttemptsExhausted => break,
             }
         }
         commands
     }
 
-    /// Stops and clears that stand for a machine: all that a direct command may
-    /// carry.
+    /// Returns the stop and clear commands due on a machine, the only ones that a
+    /// direct command may carry.
     pub fn direct_commands(&self, id: &MachineId) -> Vec<Command> {
         self.machines
             .get(id)
-            .map(|m| standing_commands(&m.slots, &self.jobs, &self.unreadable_jobs))
+            .map(|m| stop_and_clear_commands(&m.slots, &self.jobs, &self.unreadable_jobs))
             .unwrap_or_default()
     }
 }
 
 impl Machine {
-    /// A record without the worker's address is of a machine that was never launched
-    /// on; the next leader relies on that, so the address is stored first.
+    /// Whether tasks may be launched on the machine now. The next leader assumes that
+    /// nothing was ever launched on a machine whose record lacks the worker's address,
+    /// so the address is stored first.
     fn accepts_launches(&self) -> bool {
         self.confirmed
             && self.inbound_partitioned_since.is_none()
@@ -80,13 +83,13 @@
     }
 }
 
-/// What became of a planned launch.
-enum Launch {
+/// Result of launching a planned task.
+enum LaunchOutcome {
     Command(Command),
-    /// The task does not wait any more, or its image fetch yields to a service's.
-    NotNow,
-    /// The fencing token has used up its attempts.
-    NoAttemptsLeft,
+    /// The task no longer waits, or its image fetch is held back by the fetch gate.
+    Skipped,
+    /// All attempts of the fencing token have been issued.
+    AttemptsExhausted,
 }
 
 /// Launches planned tasks on one machine.
@@ -96,84 +99,90 @@
     fencing_token: FencingToken,
     jobs: &'a mut BTreeMap<JobId, Job>,
     fetch_gate: &'a mut Option<FetchGate>,
-    /// Attempts issued under the fencing token.
-    attempts: &'a mut u64,
+    /// Number of attempts issued under the fencing token.
+    attempts_issued: &'a mut u64,
     now: MonotonicTime,
 }
 
 impl Launcher<'_> {
-    fn launch(&mut self, task: TaskId) -> Launch {
+    fn launch(&mut self, task: TaskId) -> LaunchOutcome {
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            return Launch::NotNow;
+            return LaunchOutcome::Skipped;
         };
-        let waits = job.waiting.contains(task.index) && self.now >= job.cancelling_until;
-        if !waits || job.active.contains_key(&task.index) {
-            return Launch::NotNow;
+        let is_waiting = job.waiting.contains(task.index) && self.now >= job.cancelling_until;
+        if !is_waiting || job.active.contains_key(&task.index) {
+            return LaunchOutcome::Skipped;
         }
         if let Some(gate) = self.fetch_gate
             && !gate.admits(self.machine, &job.spec, self.now)
         {
-            return Launch::NotNow;
+            return LaunchOutcome::Skipped;
         }
-        let shared = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
-        let Some(attempt) = shared.or_else(|| next_attempt(self.fencing_token, self.attempts))
+        let gang_attempt = job.gang_attempt.filter(|_| job.spec.shape == Shape::Gang);
+        let Some(attempt) =
+            gang_attempt.or_else(|| next_attempt(self.fencing_token, self.attempts_issued))
         else {
-            return Launch::NoAttemptsLeft;
+            return LaunchOutcome::AttemptsExhausted;
         };
         job.mark_active(task.index, self.machine_id.clone(), attempt);
-        let (incarnation, seq) = self.machine.newest;
+        let (incarnation, seq) = self.machine.last_message;
         self.machine.slots.push(Slot {
             task: task.clone(),
             attempt,
             state: SlotState::Sent { incarnation, seq },
             spec: Some(Arc::clone(&job.spec)),
-            stop: None,
-            since: self.now,
+            stop_grace_s: None,
+            created_at: self.now,
             running_since: None,
         });
         self.machine.idle_since = None;
-        Launch::Command(Command::Launch { task, attempt })
+        LaunchOutcome::Command(Command::Launch { task, attempt })
     }
 }
 
-/// An attempt that was never used. None: the fencing token has none left.
+/// Issues a new attempt. `None` if the fencing token has none left.
 fn next_attempt(fencing_token: FencingToken, issued: &mut u64) -> Option<Attempt> {
     let attempt = Attempt::from_parts(fencing_token, *issued)?;
     *issued += 1;
     Some(attempt)
 }
 
-/// Stops and clears for the attempts on a machine. Attempts of unreadable jobs get
-/// none.
-fn standing_commands(
+/// Returns the stop and clear commands due for a machine's attempts. Attempts of
+/// unreadable jobs get none.
+fn stop_and_clear_commands(
     slots: &[Slot],
     jobs: &BTreeMap<JobId, Job>,
-    unreadable: &BTreeSet<JobId>,
+    unreadable_jobs: &BTreeSet<JobId>,
 ) -> Vec<Command> {
-    let readable = slots.iter().filter(|s| !unreadable.contains(&s.task.job));
-    readable.filter_map(|s| standing_command(s, jobs)).collect()
+    let readable = slots
+        .iter()
+        .filter(|s| !unreadable_jobs.contains(&s.task.job));
+    readable
+        .filter_map(|s| stop_or_clear_command(s, jobs))
+        .collect()
 }
 
-fn standing_command(slot: &Slot, jobs: &BTreeMap<JobId, Job>) -> Option<Command> {
+fn stop_or_clear_command(slot: &Slot, jobs: &BTreeMap<JobId, Job>) -> Option<Command> {
     let (task, attempt) = (slot.task.clone(), slot.attempt);
-    match (slot.state, slot.stop) {
+    match (slot.state, slot.stop_grace_s) {
         (SlotState::Exited { done }, _) => {
-            let may_be_cleared = !done || is_recorded(&task, jobs);
+            let may_be_cleared = !done || has_nothing_to_commit(&task, jobs);
             may_be_cleared.then_some(Command::Clear { task, attempt })
         }
-        // It saves already: only a stop without leeway tells it anything new.
-        (SlotState::Saving, Some(leeway_s)) if leeway_s > 0.0 => None,
-        (_, Some(leeway_s)) => Some(Command::Stop {
+        // The attempt is already saving its state; only a stop without a grace period
+        // changes anything.
+        (SlotState::Saving, Some(grace_s)) if grace_s > 0.0 => None,
+        (_, Some(grace_s)) => Some(Command::Stop {
             task,
             attempt,
-            leeway_s,
+            leeway_s: grace_s,
         }),
         (_, None) => None,
     }
 }
 
-/// Whether nothing about a done task is left to commit.
-fn is_recorded(task: &TaskId, jobs: &BTreeMap<JobId, Job>) -> bool {
+/// Whether nothing about a done task remains to be committed.
+fn has_nothing_to_commit(task: &TaskId, jobs: &BTreeMap<JobId, Job>) -> bool {
     jobs.get(&task.job)
         .is_none_or(|job| job.spec.shape == Shape::Service || job.committed.contains(task.index))
 }
--- a/crates/pulleywood-scheduler/src/shard/snapshot.rs
+++ b/crates/pulleywood-scheduler/src/shard/snapshot.rs
@@ -1,4 +1,4 @@
-//! A shard in numbers, for those who follow its recovery.
+//! Counts of a shard's machines and tasks, for tracking its recovery.
 
 use crate::config::Config;
 use crate::shard::machine::Machine;
@@ -6,41 +6,44 @@
 use pulleywood_protocol::{FencingToken, Rank, Shape, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A shard in numbers.
+/// Counts of a shard's machines and tasks at one moment.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ShardSnapshot {
-    /// The shard.
+    /// The shard that is described.
     pub shard: ShardId,
-    /// The fencing token under which its leader acquired it.
+    /// The fencing token under which the shard's leader acquired it.
     pub fencing_token: FencingToken,
-    /// Its machines.
+    /// Number of machines of the shard.
     pub machines: usize,
-    /// Machines whose heartbeats have shown the present fencing token.
+    /// Machines whose heartbeats have shown the current fencing token.
     pub confirmed: usize,
-    /// Machines that may run tasks of an earlier leader that this one has not seen.
+    /// Machines that may run tasks of a previous leader that have not been reported to
+    /// this one.
     pub unreported: usize,
-    /// Records of machines could not be read when the shard was acquired.
+    /// Whether a machine record could not be read when the shard was acquired, and
+    /// tasks of a previous leader may still run on that machine.
     pub unreadable_machines: bool,
     /// Attempts that hold resources of machines.
     pub running: usize,
-    /// Of which told to stop.
+    /// The part of `running` that was told to stop.
     pub stopping: usize,
     /// Done tasks that are not committed.
     pub uncommitted: usize,
-    /// Waiting tasks that an earlier leader may have launched.
-    pub older_waiting: usize,
-    /// Of which may still run on a machine that has not reported.
-    pub older_blocked: usize,
+    /// Waiting tasks of jobs that a previous leader may have launched.
+    pub inherited_waiting: usize,
+    /// The part of `inherited_waiting` that may still run on a machine that has not
+    /// reported, and is therefore not launched.
+    pub inherited_blocked: usize,
     /// Waiting replicas of services.
-    pub services_missing: usize,
-    /// Zones in which it has machines.
+    pub waiting_replicas: usize,
+    /// Zones in which the shard has machines.
     pub zones: BTreeSet<String>,
-    /// Attempts below production rank that fetch their image, by zone.
-    pub lower_fetches: BTreeMap<String, usize>,
+    /// Attempts below production rank that are fetching their image, by zone.
+    pub fetches_below_production: BTreeMap<String, usize>,
 }
 
 impl ShardState {
-    /// The shard in numbers.
+    /// Counts the shard's machines and tasks.
     pub fn snapshot(&self, config: &Config) -> ShardSnapshot {
         let mut snapshot = ShardSnapshot {
             shard: self.shard,
@@ -56,9 +59,9 @@
             snapshot.count_job(job);
             let waiting = job.waiting.len() as usize;
             if job.maybe_launched_before && waiting > 0 {
-                snapshot.older_waiting += waiting;
-                if self.rebuilding() && self.may_run_unseen(job, config) {
-                    snapshot.older_blocked += waiting;
+                snapshot.inherited_waiting += waiting;
+                if self.is_rebuilding() && self.may_run_on_unreported_machine(job, config) {
+                    snapshot.inherited_blocked += waiting;
                 }
             }
         }
@@ -74,13 +77,16 @@
         }
         self.confirmed += usize::from(machine.confirmed);
         self.unreported += usize::from(machine.unreported);
-        for slot in machine.slots.iter().filter(|s| s.holds_room()) {
+        for slot in machine.slots.iter().filter(|s| s.holds_resources()) {
             self.running += 1;
-            self.stopping += usize::from(slot.stop.is_some());
+            self.stopping += usize::from(slot.stop_grace_s.is_some());
             let spec = slot.spec.as_ref();
             let below_production = spec.is_some_and(|s| s.rank < Rank::Production);
             if slot.state.is_fetching() && below_production {
-                *self.lower_fetches.entry(zone.clone()).or_default() += 1;
+                *self
+                    .fetches_below_production
+                    .entry(zone.clone())
+                    .or_default() += 1;
             }
         }
     }
@@ -88,7 +94,7 @@
     fn count_job(&mut self, job: &Job) {
         self.uncommitted += (job.done.len() - job.committed.len()) as usize;
         if job.spec.shape == Shape::Service {
-            self.services_missing += job.waiting.len() as usize;
+            self.waiting_replicas += job.waiting.len() as usize;
         }
     }
 }
--- a/crates/pulleywood-scheduler/tests/placement.rs
+++ b/crates/pulleywood-scheduler/tests/placement.rs
@@ -87,10 +87,13 @@
             let heartbeat = harness.heartbeat(machine_index, 1, vec![]);
             harness
                 .state
-                .heartbeat(&heartbeat, false, at(1.0), &harness.config);
-            harness
-                .state
-                .answer(&machine(machine_index), false, at(1.0), &harness.config);
+                .handle_heartbeat(&heartbeat, false, at(1.0), &harness.config);
+            harness.state.response_commands(
+                &machine(machine_index),
+                false,
+                at(1.0),
+                &harness.config,
+            );
         }
         let mut launched = [0, 0];
         for (machine_index, count) in launched.iter_mut().enumerate() {
@@ -232,7 +235,7 @@
         let other_shards_usage = slots(0.0, usage_in_other_shards);
         harness
             .state
-            .elsewhere
+            .usage_in_other_shards
             .insert("red".into(), other_shards_usage);
         let mut victim_job = spec(1, 4);
         victim_job.rank = Rank::Urgent;
@@ -302,14 +305,14 @@
         let heartbeat = harness.heartbeat(machine_index, 1, vec![]);
         harness
             .state
-            .heartbeat(&heartbeat, false, at(1.0), &harness.config);
+            .handle_heartbeat(&heartbeat, false, at(1.0), &harness.config);
     }
     // A new plan is made between the heartbeats of the two machines.
     let mut launches_by_machine = Vec::new();
     for machine_index in 0..2 {
         let heartbeat = harness.heartbeat(machine_index, 2, vec![]);
         launches_by_machine.push(launches(&harness.heartbeat_and_answer(&heartbeat, 1.5)));
-        harness.state.disturb();
+        harness.state.invalidate_plan();
     }
     let first_launches: Vec<_> = launches_by_machine.concat();
     assert_eq!(first_launches.len(), 6);
@@ -359,7 +362,7 @@
     // started)
     for (now_s, large_job_started) in [(30.0, false), (61.0, true)] {
         let mut harness = ShardHarness::new(&["a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.config.objectives.push(ServiceLevelObjective {
             kind: "finished".into(),
             class: Some("c".into()),
@@ -385,7 +388,7 @@
     // The task needs a whole machine, while smaller tasks take all resources that
     // become free. Once the task is starved, a machine must be reserved for it.
     let mut harness = ShardHarness::new(&["a", "a"]);
-    harness.state.day_offset_ms = at(0.0).0 as i64;
+    harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
     let mut whole_machine_job = spec(1, 1);
     (whole_machine_job.cpus.0, whole_machine_job.gpus.0) = (16.0, 4.0);
     whole_machine_job.rank = Rank::Standard;
@@ -439,7 +442,7 @@
         [(4.0, 1.0, 8, 8), (8.0, 1.0, 8, 4), (4.0, 3.0, 4, 12)]
     {
         let mut harness = ShardHarness::new(&["a", "a", "a", "a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.config.teams.get_mut("blue").unwrap().weight = weight;
         for job_offset in 0..14 {
             harness.submit(spec(100 + job_offset, 1), false);
@@ -451,13 +454,14 @@
         for heartbeat in &heartbeats {
             harness
                 .state
-                .heartbeat(heartbeat, false, at(1.0), &harness.config);
+                .handle_heartbeat(heartbeat, false, at(1.0), &harness.config);
         }
         let mut launched = Vec::new();
         for heartbeat in &heartbeats {
-            let commands = harness
-                .state
-                .answer(&heartbeat.machine, true, at(1.0), &harness.config);
+            let commands =
+                harness
+                    .state
+                    .response_commands(&heartbeat.machine, true, at(1.0), &harness.config);
             launched.extend(launches(&commands));
         }
         let red_launches = launched.iter().filter(|(t, _)| t.job < task(200, 0).job);
@@ -557,7 +561,7 @@
     // (time in seconds, whether the starved job of team blue is served before team red's)
     for (now_s, blue_job_first) in [(100.0, false), (125.0, true)] {
         let mut harness = ShardHarness::new(&["a"]);
-        harness.state.day_offset_ms = at(0.0).0 as i64;
+        harness.state.wall_clock_offset_ms = at(0.0).0 as i64;
         harness.submit(cpu_job(1, 3, 4.0), false);
         let heartbeat = harness.heartbeat(0, 1, vec![]);
         let first_launches = launches(&harness.heartbeat_and_answer(&heartbeat, 1.0));
@@ -565,7 +569,7 @@
         // One more task fits, and team red runs none.
         harness.submit(cpu_job(2, 5, 4.0), false);
         let mut later_job = job_record(spec(3, 5));
-        later_job.at_ms = 60_000;
+        later_job.accepted_at_ms = 60_000;
         harness
             .state
             .put_job(&later_job, Revision(2), false, at(60.0), &harness.config);
@@ -651,7 +655,10 @@
                 ..spec(9, 1)
             };
             let types = machine_types::of_job(&harness.config, &large_job);
-            harness.state.choices.note(types, at(0.0));
+            harness
+                .state
+                .machine_type_demand
+                .record_waiting(types, at(0.0));
         }
         let small = JobSpec {
             rank: Rank::Urgent,
@@ -665,11 +672,11 @@
         for heartbeat in &heartbeats {
             harness
                 .state
-                .heartbeat(heartbeat, false, at(1.0), &harness.config);
+                .handle_heartbeat(heartbeat, false, at(1.0), &harness.config);
         }
         let started: Vec<usize> = (0..3)
             .map(|machine_index| {
-                launches(&harness.state.answer(
+                launches(&harness.state.response_commands(
                     &machine(machine_index),
                     true,
                     at(1.0),
@@ -695,7 +702,10 @@
             ..spec(9, 1)
         };
         let types = machine_types::of_job(&harness.config, &large);
-        harness.state.choices.note(types, at(0.0));
+        harness
+            .state
+            .machine_type_demand
+            .record_waiting(types, at(0.0));
         harness.submit(large, false);
         let first_heartbeat = harness.heartbeat(0, 1, vec![]);
         let (task, attempt) =
@@ -705,7 +715,7 @@
             ..spec(1, 1)
         };
         let record = JobRecord {
-            at_ms: at(0.0).0,
+            accepted_at_ms: at(0.0).0,
             ..job_record(urgent)
         };
         harness
--- a/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/jobs.rs
@@ -40,27 +40,28 @@
 
     pub(super) fn submit(&mut self) {
         let spec = self.random_spec();
-        let refused = self.config.never_runs(&spec);
+        let refused = self.config.unschedulable_reason(&spec);
         self.digest.flag(refused.is_some());
         if refused.is_some() {
             return;
         }
-        let shard = shard_selection::choose(
+        let shard = shard_selection::select_shard(
             &self.config,
             &spec,
             &self.digests,
             &self.records,
             &self.sent,
         );
-        *self.sent.entry(shard).or_default() += shard_selection::size(&self.config, &spec);
+        *self.sent.entry(shard).or_default() +=
+            shard_selection::size_in_machines(&self.config, &spec);
         let mut record = JobRecord {
             spec,
-            at_ms: self.now.0,
+            accepted_at_ms: self.now.0,
             shard,
             transferred: Vec::new(),
             done: String::new(),
         };
-        shard_selection::spread(
+        shard_selection::transfer_spread_tasks(
             &self.config,
             &mut record,
             &self.digests,
@@ -98,7 +99,7 @@
             self.leave_job_batch(id);
         }
         for state in self.shards.values_mut() {
-            state.drop_job(id);
+            state.remove_job(id);
         }
     }
 
@@ -115,9 +116,10 @@
         for shard in shards {
             loop {
                 let state = &self.shards[&shard];
-                let due = state.has_batch(self.now, &self.config);
+                let due = state.next_batch_is_urgent(self.now, &self.config);
                 self.digest.number(due.map_or(2, u64::from));
-                let batch = state.batch(Revision(3), &self.job_batches, self.now, &self.config);
+                let batch =
+                    state.next_batch(Revision(3), &self.job_batches, self.now, &self.config);
                 let Some(batch) = batch else { break };
                 self.digest.bytes(&cbor::encode(&batch.transaction));
                 let revision = self.next_revision();
@@ -125,10 +127,10 @@
                     self.job_batches.put(*n, job_batch.clone(), revision);
                 }
                 let state = self.shards.get_mut(&shard).expect("a shard");
-                state.batch_applied(&batch, revision);
+                state.mark_batch_committed(&batch, revision);
                 for job in &batch.jobs {
                     self.in_batch.remove(&job.id);
-                    if job.over.is_some() {
+                    if job.final_record.is_some() {
                         self.end_job(&job.id);
                     }
                 }
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -23,7 +23,7 @@
 };
 use pulleywood_scheduler::fleet::{self, Action, FleetHistory, FleetSnapshot, MachineKind};
 use pulleywood_scheduler::machine_types::{self, MachineTypeDemand};
-use pulleywood_scheduler::quota::{self, Need, Step};
+use pulleywood_scheduler::quota::{self, QuotaNeed, QuotaStep};
 use pulleywood_scheduler::shard::HeartbeatOutcome;
 use pulleywood_scheduler::shard::failure_attribution::HealthEvent;
 use pulleywood_scheduler::shard::reachability::{Reachability, reachability};
@@ -128,7 +128,7 @@
             config,
         };
         for shard in (0..simulation.config.shards).map(ShardId) {
-            let first = quota::first(&simulation.config, simulation.config.shards);
+            let first = quota::initial_quotas(&simulation.config, simulation.config.shards);
             simulation.quotas.insert(shard, first);
             simulation.lead(
                 shard,
@@ -170,7 +170,7 @@
         let zones = self.config.zones.clone();
         let mut state = ShardState::new(shard, fencing_token, previous_launches_until, zones);
         state.quotas = self.quotas[&shard].clone();
-        state.resumption.stops_wait = self.rng.bool();
+        state.resumption.delays_preemption = self.rng.bool();
         for (id, (record, revision)) in &self.records {
             if record.shard == shard {
                 state.put_machine(id, record.clone(), *revision, true, self.now);
@@ -227,7 +227,7 @@
             } else {
                 let until = self.now + Duration::from_secs(8);
                 for state in self.shards.values_mut() {
-                    state.cancelling(&id, until);
+                    state.hold_for_cancellation(&id, until);
                 }
             }
         }
--- a/crates/pulleywood-testkit/src/samples.rs
+++ b/crates/pulleywood-testkit/src/samples.rs
@@ -33,12 +33,12 @@
     Config {
         heartbeat_interval: Duration::from_secs(1),
         lease: Duration::from_secs(10),
-        cancel: Duration::from_secs(40),
-        batch_ops: 12,
+        cancellation_limit: Duration::from_secs(40),
+        max_batch_operations: 12,
         shards,
         value_bytes: 8192,
-        homes: vec![],
-        chunk: 1024,
+        controller_zones: vec![],
+        chunk_tasks: 1024,
         zones: vec!["a".into(), "b".into()],
         teams: BTreeMap::from([("red".to_owned(), team)]),
         objectives: vec![],
@@ -87,7 +87,7 @@
 pub fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
-        at_ms: 0,
+        accepted_at_ms: 0,
         shard: ShardId(0),
         transferred: vec![],
         done: String::new(),
@@ -104,7 +104,7 @@
         zone: "a".into(),
         spot: false,
         endpoint: "10.0.0.1:1".into(),
-        retiring: false,
+        releasing: false,
         images: vec![],
     }
 }
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -69,7 +69,7 @@
             self.previous_launches_until(record.as_ref(), config, now),
             config.zones.clone(),
         );
-        state.resumption.stops_wait = self.recovery.is_some();
+        state.resumption.delays_preemption = self.recovery.is_some();
         let mut held = LedShard {
             state,
             revision,
@@ -89,17 +89,17 @@
     ) -> MonotonicTime {
         match previous {
             None => now,
-            Some(previous) if previous.settled && previous.holder.member == self.name() => {
-                now + config.lease_surely_expired()
+            Some(previous) if previous.reconciled && previous.holder.member == self.name() => {
+                now + config.lease_expiry_bound()
             }
-            Some(_) => now + config.previous_leader_span(),
+            Some(_) => now + config.previous_leader_window(),
         }
     }
 
     /// Records that a shard all of whose machines have reported is accounted for.
     pub(super) fn record_reconciled(&mut self, store: &mut Store) {
         for (shard, held) in &mut self.held {
-            if held.reconciled || held.state.rebuilding() {
+            if held.reconciled || held.state.is_rebuilding() {
                 continue;
             }
             let Some(item) = store.get(&previous_leader_key(*shard)) else {
@@ -109,7 +109,7 @@
                 continue;
             };
             let record = PreviousLeaseHolder {
-                settled: true,
+                reconciled: true,
                 ..last
             };
             let transaction = Transaction::default()
@@ -139,7 +139,7 @@
     };
     let record = PreviousLeaseHolder {
         holder: holder.clone(),
-        settled: reconciled,
+        reconciled,
     };
     let vacant = Transaction::default().when(shard_leader_key(shard), Revision(0));
     next_counter
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -113,7 +113,7 @@
             worker: Arc::clone(&worker),
             addr: Arc::clone(&own_address),
         };
-        let addr = serve(loopback(), Limits::thread_each(16), handler)?.address;
+        let addr = serve(loopback(), Limits::thread_per_connection(16), handler)?.address;
         *own_address.lock() = Some(addr);
         let running = Arc::clone(&worker);
         std::thread::spawn(move || running.run(addr));
@@ -247,7 +247,7 @@
                 None => TaskState::Running,
             },
             cause: t.exit,
-            stored: None,
+            progress_saved: None,
         });
         Heartbeat {
             machine: self.config.machine.clone(),
@@ -258,7 +258,7 @@
             incarnation: state.incarnation,
             seq: state.seq,
             fencing_token: state.fencing_token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: tasks.collect(),
         }
     }
