--- a/crates/pulleywood-controller/tests/cluster/mod.rs
+++ b/crates/pulleywood-controller/tests/cluster/mod.rs
@@ -14,7 +14,7 @@
     CloudLimits, Cluster, Resources, Seed, Services, Settings, StateLimits, Team, Workers,
 };
 use pulleywood_protocol::{JobId, JobSpec, MachineId, MemberId, Shape};
-use pulleywood_testkit::cloud::Controllers;
+use pulleywood_testkit::cloud::ControllerAddresses;
 use pulleywood_testkit::samples;
 use pulleywood_testkit::{
     CuttableProxy, FakeCloud, FakeStore, Fault, InvariantChecker, StoreEndpoint,
@@ -236,12 +236,12 @@
     pub fn build(options: ClusterOptions) -> TestCluster {
         let invariants = Arc::new(InvariantChecker::default());
         if options.gpu_limit > 0.0 {
-            invariants.limit("red", options.gpu_limit);
+            invariants.set_gpu_limit("red", options.gpu_limit);
         }
         let count = options.controllers;
         let serve_on: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
         let peer_addresses: Vec<SocketAddr> = (0..count).map(|_| free_port()).collect();
-        let controllers: Controllers = Controllers::default();
+        let controllers: ControllerAddresses = ControllerAddresses::default();
         *controllers.lock() = serve_on
             .iter()
             .enumerate()
@@ -373,13 +373,13 @@
 
     /// Cuts a controller off from the store and its peers, but not from workers and users.
     pub fn isolate(&self, controller: usize) {
-        self.store_endpoints[controller].set(Fault::Cut);
+        self.store_endpoints[controller].set_fault(Fault::NoAnswer);
         self.set_peers_cut(controller, true);
     }
 
     /// Ends [`TestCluster::isolate`].
     pub fn end_isolation(&self, controller: usize) {
-        self.store_endpoints[controller].set(Fault::None);
+        self.store_endpoints[controller].set_fault(Fault::None);
         self.set_peers_cut(controller, false);
     }
 
@@ -394,14 +394,14 @@
     /// Removes the fault between a controller and the store, and waits until the controller is
     /// ready.
     pub fn restore_store_access(&self, controller: usize) {
-        self.store_endpoints[controller].set(Fault::None);
+        self.store_endpoints[controller].set_fault(Fault::None);
         self.wait_ready(controller);
     }
 
     /// Sets a fault between every controller and the store.
     pub fn set_store_fault_everywhere(&self, fault: Fault) {
         for endpoint in &self.store_endpoints {
-            endpoint.set(fault);
+            endpoint.set_fault(fault);
         }
     }
 
@@ -486,9 +486,9 @@
     /// Waits until no task of a job runs. From then on, a launch of one violates an invariant.
     pub fn wait_stopped(&self, id: &JobId) {
         wait_until("no task of the job runs", || {
-            self.invariants.running(id) == 0
+            self.invariants.running_tasks(id) == 0
         });
-        self.invariants.note_ended(id);
+        self.invariants.forbid_starts(id);
     }
 
     /// Waits until a controller responds with this status of a job.
@@ -544,7 +544,7 @@
     pub fn submit_and_wait_running(&self, spec: &JobSpec) {
         self.submit(spec, LONG_RUN);
         wait_until("a task of the job runs", || {
-            self.invariants.running(&spec.id) > 0
+            self.invariants.running_tasks(&spec.id) > 0
         });
     }
 
@@ -553,7 +553,7 @@
         self.submit(spec, LONG_RUN);
         let tasks = spec.tasks as usize;
         wait_until("all tasks of the job run", || {
-            self.invariants.running(&spec.id) == tasks
+            self.invariants.running_tasks(&spec.id) == tasks
         });
     }
 
@@ -565,7 +565,7 @@
 
     /// Panics if an invariant was violated.
     pub fn assert_invariants(&self) {
-        assert_eq!(self.invariants.broken(), Vec::<String>::new());
+        assert_eq!(self.invariants.violations(), Vec::<String>::new());
     }
 }
 
--- a/crates/pulleywood-controller/tests/failures.rs
+++ b/crates/pulleywood-controller/tests/failures.rs
@@ -88,12 +88,12 @@
 
 #[test]
 fn jobs_finish_while_store_responses_are_lost_late_or_slow() {
-    for fault in [Fault::LoseAnswers, Fault::Late(1700), Fault::Slow(900)] {
+    for fault in [Fault::LoseResponses, Fault::Late(1700), Fault::Slow(900)] {
         let cluster = TestCluster::new(0.0);
         let first = job(1, 4);
         cluster.submit_and_wait_running(&first);
-        cluster.store_endpoints[0].set(fault);
-        cluster.store_endpoints[1].set(fault);
+        cluster.store_endpoints[0].set_fault(fault);
+        cluster.store_endpoints[1].set_fault(fault);
         let second = job(2, 2);
         cluster.submit_and_wait_done(&second);
         cluster.set_store_fault_everywhere(Fault::None);
@@ -109,7 +109,11 @@
     cluster.submit_and_wait_all_running(&spec);
     // A worker is cut off while its tasks continue to run, and all controllers are restarted.
     let machine = cluster.first_machine_of(&spec.id);
-    cluster.cloud.worker(&machine).unwrap().set_cut(true);
+    cluster
+        .cloud
+        .worker(&machine)
+        .unwrap()
+        .set_partitioned(true);
     cluster.restart_all();
     cluster.wait_done(&spec.id);
     cluster.assert_invariants();
@@ -117,11 +121,11 @@
 
 #[test]
 fn a_leader_cut_off_from_the_store_is_replaced_and_rejoins() {
-    for fault in [Fault::Cut, Fault::Refuse] {
+    for fault in [Fault::NoAnswer, Fault::Refuse] {
         let cluster = TestCluster::new(0.0);
         let spec = job(1, 6);
         cluster.submit_and_wait_running(&spec);
-        cluster.store_endpoints[0].set(fault);
+        cluster.store_endpoints[0].set_fault(fault);
         cluster.wait_done(&spec.id);
         cluster.restore_store_access(0);
         let next = job(2, 2);
@@ -136,7 +140,7 @@
         let cluster = TestCluster::new(0.0);
         let spec = service(1, 4);
         cluster.submit_and_wait_all_running(&spec);
-        cluster.store_endpoints[leader].set(Fault::Cut);
+        cluster.store_endpoints[leader].set_fault(Fault::NoAnswer);
         let other = (leader + 1) % CONTROLLERS;
         cluster.cancel(other, &spec.id);
         cluster.wait_stopped(&spec.id);
@@ -172,19 +176,21 @@
     let specs: Vec<JobSpec> = (1..=4).map(|n| job(n, 3)).collect();
     cluster.submit_all(&specs, Duration::from_secs(1));
     wait_until("a task of any job runs", || {
-        specs.iter().any(|s| cluster.invariants.running(&s.id) > 0)
+        specs
+            .iter()
+            .any(|s| cluster.invariants.running_tasks(&s.id) > 0)
     });
     cluster.kill(0);
-    cluster.store_endpoints[1].set(Fault::Cut);
+    cluster.store_endpoints[1].set_fault(Fault::NoAnswer);
     wait_until("more than four tasks have been started", || {
         specs
             .iter()
-            .map(|s| cluster.invariants.starts(&s.id))
+            .map(|s| cluster.invariants.start_count(&s.id))
             .sum::<u32>()
             > 4
     });
     cluster.start(0);
-    cluster.store_endpoints[1].set(Fault::None);
+    cluster.store_endpoints[1].set_fault(Fault::None);
     cluster.wait_all_done(&specs);
     assert!(!cluster.store.keys("c/grant/").is_empty());
     cluster.assert_invariants();
@@ -223,7 +229,7 @@
     cluster.wait_all_done(&jobs);
     for spec in &services {
         wait_until("no task of the service runs", || {
-            cluster.invariants.running(&spec.id) == 0
+            cluster.invariants.running_tasks(&spec.id) == 0
         });
         cluster.wait_status_everywhere(&spec.id, JobStatus::Cancelled);
     }
@@ -242,7 +248,7 @@
     let worker = cluster.cloud.worker(&partitioned).unwrap();
     worker.set_inbound_partitioned(true);
     wait_until("all tasks run on other machines", || {
-        cluster.invariants.running(&spec.id) == 4
+        cluster.invariants.running_tasks(&spec.id) == 4
             && !cluster
                 .invariants
                 .machines_of(&spec.id)
@@ -324,10 +330,10 @@
     cluster.submit_all(&specs, Duration::from_secs(1));
     for round in 0..6 {
         let controller = round % CONTROLLERS;
-        cluster.store_endpoints[controller].set(Fault::Late(700));
+        cluster.store_endpoints[controller].set_fault(Fault::Late(700));
         cluster.restart(controller);
         cluster.restart(controller);
-        cluster.store_endpoints[controller].set(Fault::None);
+        cluster.store_endpoints[controller].set_fault(Fault::None);
     }
     cluster.wait_all_done(&specs);
     cluster.wait_all_ready();
@@ -346,7 +352,7 @@
     cluster.store.extend_leases();
     cluster.set_store_fault_everywhere(Fault::None);
     cluster.wait_all_ready();
-    let reads_before = cluster.store.reads();
+    let reads_before = cluster.store.user_reads();
     std::thread::scope(|scope| {
         for spec in &specs {
             for controller in 0..CONTROLLERS {
@@ -359,7 +365,7 @@
             }
         }
     });
-    let reads = cluster.store.reads() - reads_before;
+    let reads = cluster.store.user_reads() - reads_before;
     let requests = (specs.len() * CONTROLLERS) as u64;
     assert!(
         reads < requests / 2,
@@ -376,7 +382,7 @@
     let specs: Vec<JobSpec> = (1..=6).map(|n| job(n, 3)).collect();
     let service = service(7, 2);
     cluster.submit(&service, LONG_RUN);
-    cluster.set_store_fault_everywhere(Fault::SomeLate(2500));
+    cluster.set_store_fault_everywhere(Fault::EverySecondLate(2500));
     cluster.submit_all(&specs, SHORT_RUN);
     cluster.restart(1);
     cluster.cancel(2, &service.id);
@@ -395,7 +401,7 @@
     cluster.submit(&spec, Duration::from_secs(2));
     for ended in 1..=2 {
         wait_until("the next task has been started", || {
-            cluster.invariants.starts(&spec.id) > ended
+            cluster.invariants.start_count(&spec.id) > ended
         });
         cluster.restart_all();
     }
@@ -449,11 +455,11 @@
         }
     };
     read_all_statuses();
-    let reads_before = cluster.store.reads();
+    let reads_before = cluster.store.user_reads();
     for _ in 0..5 {
         read_all_statuses();
     }
-    assert_eq!(cluster.store.reads(), reads_before);
+    assert_eq!(cluster.store.user_reads(), reads_before);
     cluster.assert_invariants();
 }
 
@@ -475,7 +481,8 @@
         final_status.is_some()
     });
     cluster.wait_done(&ended.id);
-    let starts = cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
+    let starts =
+        cluster.invariants.start_count(&ended.id) + cluster.invariants.start_count(&cancelled.id);
     for controller in 0..CONTROLLERS {
         for (spec, status) in [
             (&ended, JobStatus::Done),
@@ -495,7 +502,7 @@
         assert_eq!(unknown, 404);
     }
     let starts_after =
-        cluster.invariants.starts(&ended.id) + cluster.invariants.starts(&cancelled.id);
+        cluster.invariants.start_count(&ended.id) + cluster.invariants.start_count(&cancelled.id);
     assert_eq!(starts_after, starts);
     cluster.assert_invariants();
 }
--- a/crates/pulleywood-controller/tests/fault_combinations.rs
+++ b/crates/pulleywood-controller/tests/fault_combinations.rs
@@ -33,7 +33,7 @@
     });
     cluster
         .invariants
-        .note_cancelled(id, cluster.cancel_timeout + CANCEL_TOLERANCE);
+        .record_cancellation(id, cluster.cancel_timeout + CANCEL_TOLERANCE);
 }
 
 fn controllers_except(leader: usize) -> Vec<usize> {
@@ -48,7 +48,7 @@
 ) -> JobSpec {
     let fillers: Vec<JobSpec> = ids.take(8).map(|n| service(n, 1)).collect();
     cluster.submit_all(&fillers, LONG_RUN);
-    let runs = |spec: &JobSpec| cluster.invariants.running(&spec.id) == 1;
+    let runs = |spec: &JobSpec| cluster.invariants.running_tasks(&spec.id) == 1;
     wait_until("all machines are full", || fillers.iter().all(runs));
     let mut one_per_machine = BTreeMap::new();
     for spec in &fillers {
@@ -69,13 +69,13 @@
     // If all four machines are in the job's own shard, no task is transferred, and the next job
     // may belong to another shard.
     wait_until("tasks of the service are transferred", || {
-        if cluster.invariants.running(&wide.id) == 4 && !transferred(&wide.id) {
+        if cluster.invariants.running_tasks(&wide.id) == 4 && !transferred(&wide.id) {
             cancel(cluster, &[0, 1, 2], &wide.id);
             cluster.wait_stopped(&wide.id);
             wide = service(ids.next().unwrap(), 4);
             cluster.submit(&wide, LONG_RUN);
         }
-        cluster.invariants.running(&wide.id) == 4 && transferred(&wide.id)
+        cluster.invariants.running_tasks(&wide.id) == 4 && transferred(&wide.id)
     });
     wide
 }
@@ -90,13 +90,13 @@
         let mut ids = 1..;
         let mut spec = submit_partly_transferred(&cluster, &mut ids);
         for round in 0..2 {
-            cluster.store_endpoints[leader].set(Fault::Refuse);
+            cluster.store_endpoints[leader].set_fault(Fault::Refuse);
             cancel(&cluster, &controllers_except(leader), &spec.id);
             cluster.set_store_fault_everywhere(Fault::Refuse);
             cluster.wait_stopped(&spec.id);
             // No controller responds to workers any longer, so their leases expire.
             wait_until("the leases of all workers expired", || {
-                cluster.invariants.on_machines() == 0
+                cluster.invariants.all_running_tasks() == 0
             });
             for controller in 0..CONTROLLERS {
                 let (status, _) =
@@ -159,13 +159,13 @@
     // Users poll all controllers and repeat the submission without a pause, from before the job is
     // accepted until its final state. A third of the jobs is cancelled right after acceptance, a
     // third when its last task has ended.
-    for fault in [Fault::None, Fault::LoseAnswers, Fault::Slow(120)] {
+    for fault in [Fault::None, Fault::LoseResponses, Fault::Slow(120)] {
         let cluster = TestCluster::new(0.0);
         for number in 1..=6 {
             let spec = job(number, 2);
             cluster.invariants.expect_job(spec.clone(), SHORT_RUN);
             // One controller's connection to the store has the fault.
-            cluster.store_endpoints[number as usize % CONTROLLERS].set(fault);
+            cluster.store_endpoints[number as usize % CONTROLLERS].set_fault(fault);
             let newest = NewestState {
                 state: AtomicU8::new(0),
                 stop: AtomicBool::new(false),
@@ -238,7 +238,12 @@
     let incomplete = cbor::encode(&BTreeMap::from([("uid", "j-000002")]));
     let wide = cbor::encode(&service(3, 3));
     let valid = cbor::encode(&valid);
-    for fault in [Fault::None, Fault::Refuse, Fault::LoseAnswers, Fault::None] {
+    for fault in [
+        Fault::None,
+        Fault::Refuse,
+        Fault::LoseResponses,
+        Fault::None,
+    ] {
         cluster.set_store_fault_everywhere(fault);
         for controller in 0..CONTROLLERS {
             for _ in 0..2 {
@@ -271,7 +276,11 @@
         let spec = service(1, 4);
         cluster.submit_and_wait_all_running(&spec);
         for machine in cluster.invariants.machines_of(&spec.id) {
-            cluster.cloud.worker(&machine).unwrap().set_cut(true);
+            cluster
+                .cloud
+                .worker(&machine)
+                .unwrap()
+                .set_partitioned(true);
         }
         cancel(&cluster, &[0, 1, 2], &spec.id);
         if !keep_leaders {
@@ -291,7 +300,7 @@
     let specs: Vec<JobSpec> = (1..=6).map(|n| service(n, 1)).collect();
     cluster.submit_all(&specs, LONG_RUN);
     wait_until("all services run", || {
-        let runs = |s: &JobSpec| cluster.invariants.running(&s.id) == 1;
+        let runs = |s: &JobSpec| cluster.invariants.running_tasks(&s.id) == 1;
         specs.iter().all(runs)
     });
     for (round, spec) in specs.iter().enumerate() {
@@ -300,10 +309,10 @@
         if round % 2 == 0 {
             cluster.restart(leader);
         } else {
-            cluster.store_endpoints[leader].set(Fault::Refuse);
+            cluster.store_endpoints[leader].set_fault(Fault::Refuse);
         }
         cancel(&cluster, &controllers_except(leader), &spec.id);
-        cluster.store_endpoints[leader].set(Fault::None);
+        cluster.store_endpoints[leader].set_fault(Fault::None);
     }
     for spec in &specs {
         cluster.wait_stopped(&spec.id);
@@ -319,14 +328,18 @@
     // tasks is cut off and the controllers restart. The lease is long enough to rent another
     // machine while the tasks still run.
     let mut cluster = TestCluster::with_lease(0.0, 6.0);
-    cluster.set_store_fault_everywhere(Fault::SomeLate(600));
+    cluster.set_store_fault_everywhere(Fault::EverySecondLate(600));
     let spec = job(1, 4);
     cluster.submit(&spec, Duration::from_secs(8));
     wait_until("a task of the job runs", || {
-        cluster.invariants.running(&spec.id) > 0
+        cluster.invariants.running_tasks(&spec.id) > 0
     });
     let machine = cluster.first_machine_of(&spec.id);
-    cluster.cloud.worker(&machine).unwrap().set_cut(true);
+    cluster
+        .cloud
+        .worker(&machine)
+        .unwrap()
+        .set_partitioned(true);
     cluster.restart_one_by_one();
     cluster.set_store_fault_everywhere(Fault::None);
     cluster.wait_done(&spec.id);
--- a/crates/pulleywood-controller/tests/mixed_builds.rs
+++ b/crates/pulleywood-controller/tests/mixed_builds.rs
@@ -105,7 +105,7 @@
         cluster.wait_all_ready();
         cluster.wait_all_done(&unfinished);
         wait_until("the service runs", || {
-            cluster.invariants.running(&long_lived.id) == 2
+            cluster.invariants.running_tasks(&long_lived.id) == 2
         });
         wait_final_status(&cluster, &done.id, JobStatus::Done);
         wait_final_status(&cluster, &cancelled.id, JobStatus::Cancelled);
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -60,7 +60,9 @@
     cluster.submit(&short, LONG_RUN);
     let jobs = [&service, &array, &short];
     let running = |cluster: &TestCluster| -> usize {
-        jobs.iter().map(|s| cluster.invariants.running(&s.id)).sum()
+        jobs.iter()
+            .map(|s| cluster.invariants.running_tasks(&s.id))
+            .sum()
     };
     let expected_running: usize = jobs.iter().map(|s| s.tasks as usize).sum();
     wait_until("all tasks run", || running(&cluster) == expected_running);
@@ -71,16 +73,16 @@
         .chain(cluster.invariants.machines_of(&array.id))
         .collect();
     let starts_before =
-        cluster.invariants.starts(&service.id) + cluster.invariants.starts(&array.id);
+        cluster.invariants.start_count(&service.id) + cluster.invariants.start_count(&array.id);
     cluster.kill_all();
     // Machines are lost and tasks end while no controller runs.
     let lost: Vec<MachineId> = machines.iter().step_by(8).cloned().collect();
     let lost_tasks: usize = {
-        let tasks_before = cluster.invariants.on_machines();
+        let tasks_before = cluster.invariants.all_running_tasks();
         for machine in &lost {
             cluster.cloud.worker(machine).unwrap().reclaim();
         }
-        tasks_before - cluster.invariants.on_machines()
+        tasks_before - cluster.invariants.all_running_tasks()
     };
     assert!(lost_tasks > 0);
     wait_until("the short job is done while no controller runs", || {
@@ -93,18 +95,19 @@
     });
     cluster.wait_done(&short.id);
     // Each lost task was launched again at most once, and no other task was.
-    let starts = cluster.invariants.starts(&service.id) + cluster.invariants.starts(&array.id)
+    let starts = cluster.invariants.start_count(&service.id)
+        + cluster.invariants.start_count(&array.id)
         - starts_before;
     assert!(
         starts as usize <= lost_tasks,
         "{starts} starts, {lost_tasks} lost"
     );
-    let (history, end) = cluster.invariants.history();
+    let (history, end_ms) = cluster.invariants.history();
     let expected = Expected {
         cancel_ms: cluster.cancel_timeout.as_millis() as u64,
-        served: jobs.iter().flat_map(|s| tasks_of(s)).collect(),
-        recorded: tasks_of(&short).collect(),
-        end,
+        required_tasks: jobs.iter().flat_map(|s| tasks_of(s)).collect(),
+        recorded_as_done: tasks_of(&short).collect(),
+        end_ms,
         ..Expected::default()
     };
     assert_eq!(check(&history, &expected), []);
@@ -187,7 +190,7 @@
     };
     let shards = CONTROLLERS as u32;
     let key = job_key(unwatched.id.shard(shards), &unwatched.id);
-    cluster.store.put_unseen(&key, &record);
+    cluster.store.put_without_event(&key, &record);
     wait_until("the audit has found the job and its tasks are done", || {
         cluster.invariants.is_done(&unwatched.id)
     });
@@ -204,7 +207,7 @@
     let key = job_key(id.shard(shards), &id);
     cluster
         .store
-        .put_unseen(&key, &"a record of a later release");
+        .put_without_event(&key, &"a record of a later release");
     cluster.restart_all();
     cluster.wait_all_ready();
     let valid = job(1, 4);
@@ -276,7 +279,7 @@
     let spec = job(1, 4);
     cluster.submit(&spec, Duration::from_secs(3600));
     wait_until("all tasks of the job run", || {
-        cluster.invariants.running(&spec.id) == 4
+        cluster.invariants.running_tasks(&spec.id) == 4
     });
     let healthy = run_inspect(&cluster, &[]);
     let text = String::from_utf8_lossy(&healthy.stdout).into_owned();
@@ -290,7 +293,7 @@
         shards.iter().all(|s| s["holder"].is_null())
     };
     wait_until("no shard has a leader", || no_leaders(&cluster));
-    let starts = cluster.invariants.starts(&spec.id);
+    let starts = cluster.invariants.start_count(&spec.id);
     let writes = cluster.store.writes();
     let output = run_inspect(&cluster, &["--json", "--ask-workers"]);
     assert_eq!(output.status.code(), Some(1), "no shard has a leader");
@@ -308,6 +311,6 @@
     }
     let next = job(2, 2);
     cluster.submit_and_wait_done(&next);
-    assert_eq!(cluster.invariants.starts(&spec.id), starts);
+    assert_eq!(cluster.invariants.start_count(&spec.id), starts);
     cluster.assert_invariants();
 }
