--- a/crates/pulleywood-controller/src/shard/announce.rs
+++ b/crates/pulleywood-controller/src/shard/announce.rs
@@ -48,7 +48,7 @@
     let announce = move |announcement: Announcement| {
         announce_to_machine(&context, shard, &announcement);
     };
-    bounded_parallelism::few_at_a_time("announce", MAX_CONCURRENT, machines, announce);
+    bounded_parallelism::spawn_bounded("announce", MAX_CONCURRENT, machines, announce);
 }
 
 fn announce_to_machine(context: &ControllerContext, shard: ShardId, announcement: &Announcement) {
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -2,7 +2,7 @@
 //! is launched on a machine before its record is stored.
 
 use crate::batch_queue::WaitOutcome;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::queues::{RegistrationOutcome, UnregisteredMachine};
 use crate::state::{ControllerContext, ControllerState, Versioned};
 use crate::watch;
@@ -89,7 +89,7 @@
         highest_seen_token: heartbeat.fencing_token,
     };
     let registrations = &context.registrations;
-    match registrations.join(unregistered, REGISTRATION_TIMEOUT, |_| true) {
+    match registrations.enqueue_and_wait(unregistered, REGISTRATION_TIMEOUT, |_| true) {
         WaitOutcome::Reported(outcome) => outcome,
         WaitOutcome::Full | WaitOutcome::NotTaken | WaitOutcome::Pending => {
             RegistrationOutcome::NotRegistered
@@ -100,14 +100,14 @@
 /// Registers machines from the queue; runs for the life of the process.
 pub fn run(context: &Arc<ControllerContext>) {
     loop {
-        context.registrations.wait();
+        context.registrations.wait_for_item();
         std::thread::sleep(BATCHING_WINDOW);
         // Machines that arrive before the tokens are granted join the same transaction.
         let tokens = context
             .store
             .take_tokens(RequestPriority::MachineRecord, WRITE_TOKENS);
         let max_machines = context.controller.lock().config.machines_per_batch();
-        let waiting = context.registrations.take(max_machines);
+        let waiting = context.registrations.take_oldest(max_machines);
         match tokens {
             Ok(()) => write_machine_batch(context, waiting),
             Err(e) => {
@@ -175,7 +175,7 @@
 /// Reads the changes in the store: other controllers write machine batches too, and a
 /// transaction that is conditioned on an old head is refused.
 fn refresh_machine_batches(context: &Arc<ControllerContext>) {
-    if let Err(e) = watch::changes(context, RequestPriority::MachineRecord, Duration::ZERO) {
+    if let Err(e) = watch::read_changes(context, RequestPriority::MachineRecord, Duration::ZERO) {
         log::debug!("failed to read the machine batches: {e}");
     }
 }
@@ -204,7 +204,7 @@
     let Some(highest_seen) = highest_seen else {
         return Ok(Versioned::default());
     };
-    let counter = newest_fencing_token(context)?;
+    let counter = read_fencing_token_counter(context)?;
     let fresh_token = counter.value.max(highest_seen).next();
     Ok(Versioned::new(fresh_token, counter.revision))
 }
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -2,7 +2,7 @@
 //! to be returned to the cloud. Only machines that hold no task are released.
 
 use super::RequestOutcome;
-use crate::fencing_token::newest_fencing_token;
+use crate::fencing_token::read_fencing_token_counter;
 use crate::state::{ControllerContext, ControllerState, LedShard, Versioned, decode_machine_batch};
 use pulleywood_protocol::machine_batch::MachineBatchUpdate;
 use pulleywood_protocol::record::{
@@ -103,7 +103,7 @@
     to: Destination,
 ) -> RequestOutcome {
     let counter = match to {
-        Destination::Shard(_) => newest_fencing_token(context),
+        Destination::Shard(_) => read_fencing_token_counter(context),
         Destination::Cloud => Ok(Versioned::default()),
     };
     let Ok(counter) = counter else {
--- a/crates/pulleywood-controller/tests/mixed_builds.rs
+++ b/crates/pulleywood-controller/tests/mixed_builds.rs
@@ -1,28 +1,30 @@
-//! Controllers of an earlier build beside this one, and this build on the earlier one's store,
-//! settings and policy script.
+//! Compatibility of this build with an earlier one: controllers of both in one cluster, and each
+//! build on the store, the settings and the policy script of the other.
 //!
-//! `PULLEYWOOD_OLD_PROGRAM` is the path of the earlier program; without it this build plays
-//! both parts.
+//! `PULLEYWOOD_OLD_PROGRAM` is the path of the earlier executable. Without it, this build is used
+//! for both.
 
 mod cluster;
 
-use cluster::{LONG, SHORT, TestCluster, job, program, service, wait};
+use cluster::{LONG_RUN, SHORT_RUN, TestCluster, job, program, service, wait_until};
 use pulleywood_protocol::job::JobStatus;
 use pulleywood_protocol::{JobId, JobSpec};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-const OLD_PROGRAM: &str = "PULLEYWOOD_OLD_PROGRAM";
+/// Environment variable with the path of the earlier executable.
+const OLD_PROGRAM_VARIABLE: &str = "PULLEYWOOD_OLD_PROGRAM";
 
 fn old_program() -> PathBuf {
-    std::env::var_os(OLD_PROGRAM).map_or_else(program, PathBuf::from)
+    std::env::var_os(OLD_PROGRAM_VARIABLE).map_or_else(program, PathBuf::from)
 }
 
-/// A cluster with the recovery subsystem switched on, whose controllers all run this program.
+/// Starts a cluster with the recovery subsystem switched on, whose controllers all run this
+/// executable.
 fn cluster_of(program: &Path) -> TestCluster {
-    let mut cluster = TestCluster::build(cluster::Options {
+    let mut cluster = TestCluster::build(cluster::ClusterOptions {
         policies: vec![cluster::recovery_policy()],
-        ..cluster::Options::default()
+        ..cluster::ClusterOptions::default()
     });
     cluster.programs.fill(program.to_path_buf());
     cluster.restart_all();
@@ -35,19 +37,20 @@
     numbers.map(|n| job(n, 2)).collect()
 }
 
-/// Submits jobs while a controller is replaced, and waits until they are done.
+/// Submits jobs before and after `replace` changes a controller, and waits until all are done.
+/// Their ids begin at `first`.
 fn serve_while(cluster: &mut TestCluster, first: u64, replace: impl FnOnce(&mut TestCluster)) {
     let before = jobs(first..first + 4);
     cluster.submit_all(&before, Duration::from_secs(1));
     replace(cluster);
     let after = jobs(first + 4..first + 8);
-    cluster.submit_all(&after, SHORT);
+    cluster.submit_all(&after, SHORT_RUN);
     cluster.wait_all_done(&before);
     cluster.wait_all_done(&after);
 }
 
-/// Waits until each controller knows how the job ended.
-fn check_final_state(cluster: &TestCluster, id: &JobId, status: JobStatus) {
+/// Waits until each controller responds with this final status of a job.
+fn wait_final_status(cluster: &TestCluster, id: &JobId, status: JobStatus) {
     cluster.wait_all_ready();
     cluster.wait_status_everywhere(id, status);
 }
@@ -56,29 +59,29 @@
 fn two_builds_serve_together_while_a_controller_of_each_is_killed() {
     let old = old_program();
     let mut cluster = cluster_of(&old);
-    let lasting = service(1, 2);
-    cluster.submit_and_wait_all_running(&lasting);
+    let long_lived = service(1, 2);
+    cluster.submit_and_wait_all_running(&long_lived);
     serve_while(&mut cluster, 100, |cluster| {
         cluster.programs[1] = program();
         cluster.restart(1);
     });
-    // A controller of the old build fails while the new one serves, and comes back old.
+    // A controller of the old build is restarted, without an upgrade, while the new one serves.
     serve_while(&mut cluster, 200, |cluster| cluster.restart(0));
-    // The new controller fails while old ones serve, and stays down for a while.
+    // The controller of the new build is killed and stays down while the old ones serve.
     serve_while(&mut cluster, 300, |cluster| cluster.kill(1));
     cluster.start(1);
     cluster.wait_all_ready();
-    cluster.cancel(1, &lasting.id);
-    cluster.wait_gone(&lasting.id);
-    for n in [0, 2] {
-        cluster.programs[n] = program();
-        serve_while(&mut cluster, 400 + 100 * n as u64, |cluster| {
-            cluster.restart(n)
+    cluster.cancel(1, &long_lived.id);
+    cluster.wait_stopped(&long_lived.id);
+    for controller in [0, 2] {
+        cluster.programs[controller] = program();
+        serve_while(&mut cluster, 400 + 100 * controller as u64, |cluster| {
+            cluster.restart(controller)
         });
     }
-    check_final_state(&cluster, &lasting.id, JobStatus::Cancelled);
-    check_final_state(&cluster, &job(100, 2).id, JobStatus::Done);
-    cluster.finish();
+    wait_final_status(&cluster, &long_lived.id, JobStatus::Cancelled);
+    wait_final_status(&cluster, &job(100, 2).id, JobStatus::Done);
+    cluster.assert_invariants();
 }
 
 #[test]
@@ -90,22 +93,22 @@
     let cancelled = service(2, 1);
     cluster.submit_and_wait_running(&cancelled);
     cluster.cancel(0, &cancelled.id);
-    cluster.wait_gone(&cancelled.id);
-    let lasting = service(3, 2);
-    cluster.submit_and_wait_all_running(&lasting);
-    // To this build, and back to the old one.
-    for (first, next) in [(10, program()), (20, old)] {
+    cluster.wait_stopped(&cancelled.id);
+    let long_lived = service(3, 2);
+    cluster.submit_and_wait_all_running(&long_lived);
+    // All controllers change to this build, then back to the old one.
+    for (first, next_program) in [(10, program()), (20, old)] {
         let unfinished = jobs(first..first + 6);
-        cluster.submit_all(&unfinished, LONG);
-        cluster.programs.fill(next);
+        cluster.submit_all(&unfinished, LONG_RUN);
+        cluster.programs.fill(next_program);
         cluster.restart_all();
         cluster.wait_all_ready();
         cluster.wait_all_done(&unfinished);
-        wait("the service runs", || {
-            cluster.invariants.running_tasks(&lasting.id) == 2
+        wait_until("the service runs", || {
+            cluster.invariants.running_tasks(&long_lived.id) == 2
         });
-        check_final_state(&cluster, &done.id, JobStatus::Done);
-        check_final_state(&cluster, &cancelled.id, JobStatus::Cancelled);
+        wait_final_status(&cluster, &done.id, JobStatus::Done);
+        wait_final_status(&cluster, &cancelled.id, JobStatus::Cancelled);
     }
-    cluster.finish();
+    cluster.assert_invariants();
 }
