--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -227,9 +227,9 @@
         self.controller_zones.get(position).map(String::as_str)
     }
 
-    /// The shard that registers a new machine. It is one of the machine's own zone, if
-    /// there is any, so that a partition around the zone does not separate machines
-    /// from their leader. The machine's id selects among them.
+    /// The shard that registers a new machine. It is one of the machine's own zone, so
+    /// that a partition around the zone does not separate machines from their leader.
+    /// If there is none, it is any shard. The machine's id selects among them.
     pub fn registering_shard(&self, machine: &MachineId, zone: &str) -> ShardId {
         let same_zone_shards: Vec<ShardId> = (0..self.shards)
             .map(ShardId)
--- a/crates/pulleywood-scheduler/src/placement/queue.rs
+++ b/crates/pulleywood-scheduler/src/placement/queue.rs
@@ -11,8 +11,8 @@
 
 /// Number of a starved job's tasks that are placed before other jobs are served.
 const MAX_STARVED_TASKS: u32 = 8;
-/// A job that has waited for this many times the policy's `patience_s` is served before
-/// other teams' jobs of the same rank, regardless of its team's usage.
+/// A starved job that is older than this many times the policy's `patience_s` is served
+/// before other teams' jobs of the same rank, regardless of its team's usage.
 const FAIR_SHARE_PATIENCE_FACTOR: f64 = 2.0;
 /// A job that is older than this many times its longest objective is served before all
 /// non-starved jobs of its rank, so that it completes at all.
--- a/crates/pulleywood-scheduler/src/quota.rs
+++ b/crates/pulleywood-scheduler/src/quota.rs
@@ -2,8 +2,8 @@
 //! independently.
 //!
 //! The sum of a team's quotas never exceeds its limit: a shard's quota grows only by
-//! slots that are in no shard's quota, which may have become free by another shard's
-//! committed shrink.
+//! slots that are in no shard's quota. Slots that another shard gives up count as such
+//! only after its smaller quota was committed.
 
 use crate::config::Config;
 use pulleywood_protocol::ShardId;
--- a/crates/pulleywood-scheduler/src/shard/health.rs
+++ b/crates/pulleywood-scheduler/src/shard/health.rs
@@ -1,8 +1,8 @@
 //! Health of a job, from its task failures: whether it is in back-off, whether it is
 //! broken, and which machines it avoids.
 //!
-//! Invariant: a job becomes broken only after it failed on several machines since it
-//! last ran well anywhere; each failure of a broken job starts a new back-off.
+//! Invariant: a job is broken only while it has failed on several machines since it last
+//! ran well anywhere; each failure of a broken job starts a new back-off.
 
 use pulleywood_protocol::{JobId, MachineId, MonotonicTime};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/pulleywood-scheduler/src/shard/job.rs
+++ b/crates/pulleywood-scheduler/src/shard/job.rs
@@ -203,7 +203,8 @@
         self.waiting.remove(index);
     }
 
-    /// Records that an attempt has ended. Its task waits again unless it is done.
+    /// Records that an attempt has certainly ended. Its task waits again unless it is
+    /// done.
     ///
     /// Attempts are compared rather than machines: the end of an older attempt says
     /// nothing about a newer one on the same machine.
--- a/crates/pulleywood-scheduler/src/shard/launch.rs
+++ b/crates/pulleywood-scheduler/src/shard/launch.rs
@@ -17,7 +17,7 @@
 
 impl ShardState {
     /// Returns the commands for a machine whose heartbeat has just been accepted.
-    /// `may_launch`: the controller's lease lasts at least until the response is sent,
+    /// `may_launch`: the controller's lease certainly lasts until the response is sent,
     /// so tasks may be launched.
     pub fn response_commands(
         &mut self,
--- a/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
+++ b/crates/pulleywood-scheduler/src/shard/lease_expiry.rs
@@ -2,9 +2,9 @@
 //! that the cloud will reclaim are emptied.
 //!
 //! Invariant: a task on a machine that stopped sending heartbeats is not launched again
-//! before the worker's lease has expired, counted from the last heartbeat that was
-//! answered. If a previous leader launched the task, that leader's last launches must
-//! have ended too.
+//! before the worker's lease has certainly expired: [`Config::lease_expiry_bound`],
+//! which allows for clock drift, after the last heartbeat that was answered. If a
+//! previous leader launched the task, that leader's last launches must have ended too.
 
 use crate::config::Config;
 use crate::shard::ShardState;
--- a/crates/pulleywood-scheduler/src/shard/machine.rs
+++ b/crates/pulleywood-scheduler/src/shard/machine.rs
@@ -187,7 +187,9 @@
             .any(|s| s.spec.is_none() && s.holds_resources())
     }
 
-    /// Resources of a machine of this capacity that no attempt holds or may hold.
+    /// Resources of a machine of this capacity that no attempt of a known job holds or
+    /// may hold. Attempts of unknown jobs are not subtracted; see
+    /// [`Machine::has_unknown_attempts`].
     pub fn free_resources(&self, capacity: ResourceVector) -> ResourceVector {
         let mut free = capacity;
         for slot in self.slots.iter().filter(|s| s.holds_resources()) {
--- a/crates/pulleywood-scheduler/src/shard/mod.rs
+++ b/crates/pulleywood-scheduler/src/shard/mod.rs
@@ -9,8 +9,8 @@
 //! - The task list of a heartbeat counts only if its worker had seen the current
 //!   fencing token (`heartbeat`).
 //! - A task on a machine that stopped sending heartbeats is not launched again until
-//!   the worker's lease has expired (`lease_expiry`) or the cloud has confirmed the
-//!   machine's release (`machines`).
+//!   the worker's lease has certainly expired, clock drift included (`lease_expiry`),
+//!   or the cloud has confirmed the machine's release (`machines`).
 //! - A job that a previous leader may have launched waits for the machines that may
 //!   still run it (`unreported`).
 //! - A done task is cleared from its worker only after its batch was committed
--- a/crates/pulleywood-scheduler/src/shard/reconcile.rs
+++ b/crates/pulleywood-scheduler/src/shard/reconcile.rs
@@ -4,7 +4,7 @@
 //! Invariants: a launched task counts as possibly running until a heartbeat that was
 //! sent after the launch does not list it; an attempt that this leader did not launch
 //! is kept if its task is assigned to this shard and has no other attempt, and stopped
-//! otherwise.
+//! otherwise, unless its job's record cannot be read.
 
 use crate::config::Config;
 use crate::shard::ShardState;
@@ -190,7 +190,8 @@
         self.end_attempt(task, slot.attempt);
     }
 
-    /// Records that an attempt has ended. Its task waits again unless it is done.
+    /// Records that an attempt has certainly ended. Its task waits again unless it is
+    /// done.
     pub(super) fn end_attempt(&mut self, task: &TaskId, attempt: Attempt) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.end_attempt(task.index, attempt);
