--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -68,12 +68,12 @@
     /// Number of service jobs, each as large as the largest seen, for which capacity is
     /// reserved.
     pub reserve_jobs: f64,
-    /// Number of machine boot times that spot work waits before on-demand machines are
+    /// Number of machine boot times that spot work waits before ordinary machines are
     /// rented for it.
     pub overflow: f64,
     /// Seconds that a machine may be idle before it is released.
     pub idle_s: f64,
-    /// Seconds of delay that spot work accepts to avoid on-demand machines.
+    /// Seconds of delay that spot work accepts to avoid ordinary machines.
     pub spot_bias_s: f64,
     /// Seconds after which a job of which no task has started counts as starved and is
     /// served first.
--- a/crates/pulleywood-scheduler/src/fleet/mod.rs
+++ b/crates/pulleywood-scheduler/src/fleet/mod.rs
@@ -33,8 +33,9 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Machines of one type, in one zone and one market (spot or ordinary), which the cloud
-/// rents out at the same price.
+/// Machines of one type, in one zone and one market, which the cloud rents out at the
+/// same price. The markets are spot machines, which the cloud may reclaim, and ordinary
+/// machines, which it does not reclaim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MachineKind {
     /// Label of the machine type.
--- a/crates/pulleywood-scheduler/src/fleet/release.rs
+++ b/crates/pulleywood-scheduler/src/fleet/release.rs
@@ -41,10 +41,10 @@
 /// Margin on the boot time after which a boot is considered failed.
 const FAILED_BOOT_MARGIN_S: f64 = 30.0;
 
-/// A machine only counts as gone if its record has existed for this long, because the
+/// A machine counts as gone only if its record has existed for this long, because the
 /// list may be older than the record.
 const MIN_RECORD_AGE: Duration = Duration::from_secs(30);
-/// A machine only counts as gone if it has been missing from the cloud's lists for this
+/// A machine counts as gone only if it has been missing from the cloud's lists for this
 /// long.
 const MIN_UNLISTED: Duration = Duration::from_secs(20);
 
--- a/crates/pulleywood-scheduler/src/placement/reserve.rs
+++ b/crates/pulleywood-scheduler/src/placement/reserve.rs
@@ -30,8 +30,7 @@
     /// team's smaller tasks hold more than their fair share. It reserves half of the
     /// difference between the shares, once per cycle and team. Nothing is reserved if
     /// tasks may be preempted for the job, since preemption then frees the resources.
-    /// `waiting_tasks` is an upper bound of the team's waiting
-    /// tasks.
+    /// `waiting_tasks` is an upper bound of the team's waiting tasks.
     fn reserve_fair_share(&mut self, queued: &QueuedJob<'a>, waiting_tasks: u32) {
         let spec: &'a JobSpec = &queued.job.spec;
         let is_only_running_team = self.running_teams.iter().all(|team| *team == spec.team);
--- a/crates/pulleywood-scheduler/src/shard/reachability.rs
+++ b/crates/pulleywood-scheduler/src/shard/reachability.rs
@@ -38,9 +38,9 @@
             {
                 return false;
             }
-            // A machine that was added recently is no evidence yet. If it counted as
-            // heard, machines moved in every few seconds would hide that no worker
-            // reaches this leader.
+            // A machine that was added recently is no evidence yet. If its arrival counted
+            // as a heartbeat, machines moved in every few seconds would hide that no
+            // worker reaches this leader.
             let silence = now.since(machine.last_heartbeat_at.unwrap_or(machine.added_at));
             overdue += usize::from(silence >= threshold && silence < config.lease * 2);
         }
@@ -70,12 +70,12 @@
     config: &Config,
 ) -> Reachability {
     let interval = config.heartbeat_interval.mul_f64(1.25) + Duration::from_millis(500);
-    let heard = |m: &Machine| {
+    let sent_recently = |m: &Machine| {
         m.last_heartbeat_at
             .is_some_and(|at| now.since(at) < interval)
     };
     let mut machines = shards.clone().flat_map(|s| s.machines.values());
-    if machines.any(heard) {
+    if machines.any(sent_recently) {
         Reachability::Reachable
     } else if shards.clone().any(|s| s.is_unreachable(now, config)) {
         Reachability::Unreachable
--- a/crates/pulleywood-scheduler/src/shard/returning_machines.rs
+++ b/crates/pulleywood-scheduler/src/shard/returning_machines.rs
@@ -41,8 +41,8 @@
             .mul_f64(RECENT_HEARTBEAT_INTERVALS)
             + WORKER_RETRY_DELAY;
         let may_return = |m: &Machine| {
-            let heard = m.last_heartbeat_at.is_some_and(|at| now.since(at) < recent);
-            missed_response(&m) || resumed_recently && !(m.confirmed && heard)
+            let sent_recently = m.last_heartbeat_at.is_some_and(|at| now.since(at) < recent);
+            missed_response(&m) || resumed_recently && !(m.confirmed && sent_recently)
         };
         let mut machines = self.machines.values();
         machines.any(|m| may_return(m) && may_have_resources(m, spec, now, config))
