--- a/crates/pulleywood-scheduler/src/config.rs
+++ b/crates/pulleywood-scheduler/src/config.rs
@@ -68,12 +68,12 @@
     /// Number of service jobs, each as large as the largest seen, for which capacity is
     /// reserved.
     pub reserve_jobs: f64,
-    /// Number of machine boot times that spot work waits before on-demand machines are
+    /// Number of machine boot times that spot work waits before ordinary machines are
     /// rented for it.
     pub overflow: f64,
     /// Seconds that a machine may be idle before it is released.
     pub idle_s: f64,
-    /// Seconds of delay that spot work accepts to avoid on-demand machines.
+    /// Seconds of delay that spot work accepts to avoid ordinary machines.
     pub spot_bias_s: f64,
     /// Seconds after which a job of which no task has started counts as starved and is
     /// served first.
@@ -227,9 +227,9 @@
         self.controller_zones.get(position).map(String::as_str)
     }
 
-    /// The shard that registers a new machine. It is one of the machine's own zone, if
-    /// there is any, so that a partition around the zone does not separate machines
-    /// from their leader. The machine's id selects among them.
+    /// The shard that registers a new machine. It is one of the machine's own zone, so
+    /// that a partition around the zone does not separate machines from their leader.
+    /// If there is none, it is any shard. The machine's id selects among them.
     pub fn registering_shard(&self, machine: &MachineId, zone: &str) -> ShardId {
         let same_zone_shards: Vec<ShardId> = (0..self.shards)
             .map(ShardId)
