--- a/crates/pulleywood-controller/tests/scale.rs
+++ b/crates/pulleywood-controller/tests/scale.rs
@@ -88,7 +88,7 @@
 /// Sends heartbeats of each worker until one is accepted. Returns the number of workers that
 /// were refused at least once.
 fn send_all_heartbeats(workers: &mut [IdleWorker]) -> usize {
-    let controllers = workers.first().map_or(1, |r| r.clients.len());
+    let controllers = workers.first().map_or(1, |worker| worker.clients.len());
     let refused = Mutex::new(0);
     let queue = Mutex::new(workers.iter_mut());
     std::thread::scope(|scope| {
@@ -147,7 +147,7 @@
     let min_writes = 2 * machines.div_ceil(MACHINES_PER_BATCH) as u64;
     assert!(
         registration_writes <= min_writes * 2 + 40,
-        "{registration_writes} writes for registrations, expected at least {min_writes}"
+        "{registration_writes} writes for registrations, which take at least {min_writes}"
     );
     let refused = send_all_heartbeats(&mut workers);
     let pid = cluster.processes[0].as_ref().unwrap().id();
@@ -188,7 +188,7 @@
     let max_writes = min_writes * 2 + 40 * CONTROLLERS as u64;
     assert!(
         registration_writes <= max_writes,
-        "{registration_writes} writes for registrations, expected at least {min_writes}"
+        "{registration_writes} writes for registrations, which take at least {min_writes}"
     );
     let refused = send_all_heartbeats(&mut workers);
     let pids = cluster.processes.iter().map(|c| c.as_ref().unwrap().id());
