--- a/crates/pulleywood-controller/tests/failures.rs
+++ b/crates/pulleywood-controller/tests/failures.rs
@@ -324,7 +324,7 @@
 
 #[test]
 fn immediately_restarted_controllers_lead_no_shard_twice() {
-    // Transactions of the killed processes are applied after the restart.
+    // Transactions of the killed processes may still be applied after the restart.
     let mut cluster = TestCluster::new(4.0);
     let specs: Vec<JobSpec> = (1..=4).map(|n| job(n, 3)).collect();
     cluster.submit_all(&specs, Duration::from_secs(1));
@@ -376,8 +376,8 @@
 
 #[test]
 fn transactions_applied_after_newer_ones_violate_no_invariant() {
-    // Transactions of quota changes, done batches, transfers, final states and failovers are
-    // applied seconds late.
+    // Every second transaction is applied 2.5 s late, after newer ones: quota changes, done batches,
+    // transfers, final states and failovers.
     let mut cluster = TestCluster::new(4.0);
     let specs: Vec<JobSpec> = (1..=6).map(|n| job(n, 3)).collect();
     let service = service(7, 2);
@@ -394,8 +394,9 @@
 
 #[test]
 fn tasks_that_end_across_failovers_are_counted_once() {
-    // The team's limit allows one running task, and all controllers restart after each start.
-    // Done tasks are known from committed records and from workers' heartbeats.
+    // The team's limit allows one running task at a time, and all controllers restart once the
+    // second and once the third task has been started. Done tasks are known from committed records
+    // and from workers' heartbeats.
     let mut cluster = TestCluster::new(1.0);
     let spec = job(1, 3);
     cluster.submit(&spec, Duration::from_secs(2));
--- a/crates/pulleywood-controller/tests/fault_combinations.rs
+++ b/crates/pulleywood-controller/tests/fault_combinations.rs
@@ -22,7 +22,7 @@
 }
 
 /// Cancels a job through any of the given controllers. The invariant checker then expects its
-/// tasks to stop within `cancel_s`.
+/// tasks to stop within `cancel_s` and [`CANCEL_TOLERANCE`].
 fn cancel(cluster: &TestCluster, controllers: &[usize], id: &JobId) {
     let path = format!("/v2/runs/{id}/cancel");
     wait_until("the job is cancelled", || {
--- a/crates/pulleywood-controller/tests/recovery.rs
+++ b/crates/pulleywood-controller/tests/recovery.rs
@@ -94,7 +94,7 @@
         running(&cluster) == long_tasks
     });
     cluster.wait_done(&short.id);
-    // Each lost task was launched again at most once, and no other task was.
+    // All long tasks run again, so each lost task was launched once, and no other task was.
     let starts = cluster.invariants.start_count(&service.id)
         + cluster.invariants.start_count(&array.id)
         - starts_before;
--- a/crates/pulleywood-transport/src/budget.rs
+++ b/crates/pulleywood-transport/src/budget.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Priority of a request, highest first. A request must leave a part of the bucket, which grows
-/// from variant to variant, to requests of higher priority.
+/// Priority of a request, highest first. A request must leave a part of the bucket to requests of
+/// higher priority; each variant leaves at least as much as the one before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
     /// Lease renewals and failovers. A write needs only one available token and takes the
@@ -163,10 +163,10 @@
         self.refilled_at = now;
     }
 
-    /// Time until `count` tokens can be taken; `None` if they can be taken now. The fraction
-    /// `reserved_fraction` of the bucket must remain, and so must `reserved_tokens` for requests
-    /// that come first. A request for more tokens than the bucket holds waits until it is full
-    /// and leaves a debt: otherwise it would wait forever.
+    /// Time until `count` tokens can be taken, at most 60 s; `None` if they can be taken now. The
+    /// larger of the fraction `reserved_fraction` of the bucket and `reserved_tokens`, for requests
+    /// that come first, must remain. A request for more tokens than the bucket holds waits until
+    /// it is full and leaves a debt: otherwise it would wait forever.
     fn time_until_available(
         &self,
         count: f64,
--- a/crates/pulleywood-transport/src/peer.rs
+++ b/crates/pulleywood-transport/src/peer.rs
@@ -88,7 +88,7 @@
     }
 
     /// Sends a request and waits for the response. The request may be sent twice: it is
-    /// repeated on a new connection if a reused one fails.
+    /// repeated on a new connection if a reused one fails for another reason than a timeout.
     ///
     /// # Errors
     ///
