--- a/crates/pulleywood-testkit/src/lib.rs
+++ b/crates/pulleywood-testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fakes of the store, the cloud and the workers for tests. They implement the protocol and
-//! have faults that a test can switch on.
+//! Fakes of the store, the cloud and the workers for tests. They are written from the definition
+//! of the protocol and have faults that a test can switch on.
 //!
 //! - [`store`], [`cloud`], [`worker`], [`proxy`]: fakes in the test's process that real
 //!   controllers reach over loopback;
--- a/crates/pulleywood-testkit/src/proxy.rs
+++ b/crates/pulleywood-testkit/src/proxy.rs
@@ -39,7 +39,7 @@
         Ok(CuttableProxy { addr, cut })
     }
 
-    /// Cuts all connections and refuses new ones, or accepts new ones again.
+    /// Cuts all connections and closes new ones at once, or forwards new ones again.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/leadership.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Records each led shard whose machines have all reported as reconciled.
+    /// Records in the store that a led shard is reconciled once all of its machines have reported.
     pub(super) fn record_reconciled(&mut self, store: &mut Store) {
         for (shard, led) in &mut self.led_shards {
             if led.reconciled || led.state.is_rebuilding() {
@@ -158,7 +158,8 @@
         .write(previous_leader_key(shard), &record)
 }
 
-/// Loads a shard's machines and jobs, of which an earlier leader may have launched tasks.
+/// Loads a shard's machines and jobs as inherited ones: an earlier leader may have launched
+/// tasks of these jobs on these machines.
 fn load(led: &mut LedShard, store: &mut Store, config: &Config, now: MonotonicTime) {
     let shard = led.state.shard;
     let read_all = |store: &mut Store, prefix: &str| {
--- a/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/controller/mod.rs
@@ -22,7 +22,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Maximum time since the last contact with the store at which tasks are launched.
+/// No task is launched when the last contact with the store is longer ago than this, because the
+/// cached state may then be out of date.
 const MAX_LAUNCH_CACHE_AGE: Duration = Duration::from_secs(3);
 /// Time between two rounds of commits and recovery.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/mod.rs
@@ -44,8 +44,9 @@
     pub controllers: usize,
     /// Settings of the recovery subsystem from the cold start on; `None` if it is disabled.
     pub recovery: Option<RecoveryPolicy>,
-    /// Share of the machines, from 0 to 1, that are lost while all controllers are down. Fewer
-    /// are lost where a shard would keep less than half of its machines.
+    /// Share of the machines, from 0 to 1, that are drawn to be lost while all controllers are
+    /// down. A drawn machine is kept if less than half of its shard's machines would stay
+    /// reachable without it.
     pub lost_machine_share: f64,
     /// Whether further faults are drawn from the seed: late controllers, partitioned machines,
     /// lost answers, a store outage, a second cold start and cancellations.
@@ -59,8 +60,8 @@
     pub violations: Vec<Violation>,
     /// Number of launch and stop commands sent after the cold start.
     pub commands: usize,
-    /// Number of commands that any recovery has to send: one launch for each task that no
-    /// machine held at the cold start.
+    /// Number of commands that any recovery has to send: one launch for each task that was
+    /// lost, or was still waiting for its launch, at the cold start.
     pub min_commands: usize,
     /// Number of requests to the store since the controllers stopped, including those of the
     /// audit.
--- a/crates/pulleywood-testkit/src/virtual_cluster/store.rs
+++ b/crates/pulleywood-testkit/src/virtual_cluster/store.rs
@@ -25,8 +25,8 @@
 /// Keys, revisions and leases, kept in memory.
 pub struct Store {
     keys: BTreeMap<String, Item>,
-    /// Current store revision. Each transaction and each deletion of a leased key raises it by
-    /// one.
+    /// Current store revision. Each transaction, each write outside a transaction and each
+    /// deletion of a leased key raises it by one.
     pub revision: u64,
     /// Changed keys with the store revision of the change, oldest first.
     pub log: Vec<(u64, String)>,
@@ -34,7 +34,7 @@
     pub outage: Option<(MonotonicTime, MonotonicTime)>,
     /// Number of requests executed since this was last reset.
     pub request_count: usize,
-    /// Transactions applied since this was last taken by the observer, oldest first.
+    /// Transactions applied since this was last emptied, oldest first.
     pub applied_transactions: Vec<Transaction>,
     /// Keys attached to a lease, with the index of the controller that holds the lease, and
     /// when it expires.
--- a/crates/pulleywood-testkit/src/worker.rs
+++ b/crates/pulleywood-testkit/src/worker.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Takes the machine away, as the cloud does: all its tasks are lost, and the worker neither
-    /// sends heartbeats nor answers requests any more.
+    /// Takes the machine away, as the cloud does: all its tasks are lost, and the worker sends
+    /// no more heartbeats and refuses all requests with status 503.
     pub fn reclaim(&self) {
         self.reclaimed.store(true, Ordering::Relaxed);
         let mut state = self.state.lock();
