--- a/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/cloud_and_fleet.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Simulation {
-    pub(super) fn rent(&mut self, kind: &MachineKind, boots_at: MonotonicTime) -> MachineId {
+    pub(super) fn rent(&mut self, kind: &MachineKind, booted_at: MonotonicTime) -> MachineId {
         self.machine_count += 1;
         let id = MachineId::from(format!("vm-{:06}", self.machine_count).as_str());
         let worker = Worker {
@@ -11,7 +11,7 @@
             incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
-            boots_at,
+            booted_at,
             lost: self.rng.f64() < 0.03,
             fails_tasks: self.rng.f64() < 0.08,
             inbound_partitioned_until: MonotonicTime(0),
@@ -225,8 +225,8 @@
             self.fleet_history.record_refusal(kind, self.now);
             return;
         }
-        let boots_at = self.now + Duration::from_secs(8);
-        let ids: Vec<MachineId> = (0..count).map(|_| self.rent(kind, boots_at)).collect();
+        let booted_at = self.now + Duration::from_secs(8);
+        let ids: Vec<MachineId> = (0..count).map(|_| self.rent(kind, booted_at)).collect();
         self.fleet_history.record_filled_rental(kind);
         self.fleet_history
             .record_rented_machines(&ids, kind, self.now);
--- a/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/mod.rs
@@ -58,7 +58,8 @@
     incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
-    boots_at: MonotonicTime,
+    /// When its machine has booted; it sends heartbeats from then on.
+    booted_at: MonotonicTime,
     lost: bool,
     /// Whether all its tasks fail.
     fails_tasks: bool,
--- a/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
+++ b/crates/pulleywood-testkit/examples/decisions/simulation/workers.rs
@@ -8,7 +8,7 @@
         for id in ids {
             let sends = {
                 let worker = &self.workers[&id];
-                !worker.lost && worker.boots_at <= self.now
+                !worker.lost && worker.booted_at <= self.now
             };
             // Each step of 500 ms a worker sends a heartbeat with a probability of one half, which
             // is once per second on average.
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Moves the tasks of a machine whose time has come to their next states. The machine is
-    /// lost when its preemption is due.
+    /// Advances each task of a machine whose next state is due. The machine is lost when its
+    /// preemption is due.
     pub(super) fn advance_tasks(&mut self, id: &MachineId) {
         let (now, rng) = (self.now, &mut self.rng);
         let worker = self.workers.get_mut(id).expect("machine has a worker");
