--- a/crates/pulleywood-scheduler/src/fleet/scale_in.rs
+++ b/crates/pulleywood-scheduler/src/fleet/scale_in.rs
@@ -98,8 +98,8 @@
 }
 
 /// Returns the actions that give back machines of one market, spot or ordinary, that
-/// have been idle for long, beyond the policy's headroom. The machines that have been
-/// idle for longest are given back first.
+/// have been idle for long. As many as the policy's headroom requires are kept, those
+/// idle for longest first.
 fn release_idle(
     config: &Config,
     history: &FleetHistory,
