--- a/crates/pulleywood-controller/src/shard/done_batches.rs
+++ b/crates/pulleywood-controller/src/shard/done_batches.rs
@@ -251,7 +251,7 @@
     /// stored counts, not what was sent.
     fn refresh_jobs(&self, context: &ControllerContext) {
         log::debug!(
-            "rereading jobs of shard {}: its done batch was not confirmed",
+            "started to read jobs of shard {} again: its done batch was not confirmed",
             self.shard
         );
         for job in &self.batch.jobs {
--- a/crates/pulleywood-controller/src/shard/hand_over.rs
+++ b/crates/pulleywood-controller/src/shard/hand_over.rs
@@ -44,7 +44,7 @@
     shard: ShardId,
     revision: Revision,
 ) -> Result<(), StoreError> {
-    log::info!("releasing shard {shard}: a transaction that timed out acquired it late");
+    log::info!("started to release shard {shard}: a transaction that timed out acquired it late");
     if let Outcome::Applied(_) = delete_key(context, shard, revision)? {
         let now = context.clock.now();
         note_vacant(&mut context.controller.lock(), shard, now);
