--- a/crates/pulleywood-controller/src/api/job_status.rs
+++ b/crates/pulleywood-controller/src/api/job_status.rs
@@ -37,8 +37,8 @@
     if let Some(done) = context.controller.lock().cached.live_jobs.get(id) {
         return Ok(StoredJob::Live(*done));
     }
-    // The job was not live at the time of that read. If it has no final state now either, it
-    // was never accepted.
+    // The job was not live at the time of that read, which may have delivered its final state.
+    // If it has no final state now, it was never accepted.
     Ok(match final_state(context, id)? {
         Some(state) => StoredJob::Final(state),
         None => StoredJob::Unknown,
@@ -107,9 +107,9 @@
     Response::cbor(200, &answer)
 }
 
-/// Builds the response about a live job. The numbers of running tasks come from led shards
-/// and from peers' fresh digests; the number of done tasks comes from a led shard that knows
-/// the job, or else from the store. They are informative only.
+/// Builds the response about a live job. The number of running tasks is the sum over led
+/// shards and peers' fresh digests; the number of done tasks is the largest of the stored one
+/// and those of led shards that know the job. Both are informative only.
 fn live_job_response(context: &ControllerContext, id: &JobId, recorded_done: u32) -> Response {
     let now = context.clock.now();
     let controller = context.controller.lock();
--- a/crates/pulleywood-controller/src/api/submissions.rs
+++ b/crates/pulleywood-controller/src/api/submissions.rs
@@ -243,7 +243,8 @@
     (head, shards)
 }
 
-/// Refuses further submissions of the same job id: a job batch must contain a job once.
+/// Refuses further submissions of the same job id: a job that is in a job batch twice would be
+/// two jobs.
 fn refuse_duplicates(context: &ControllerContext, waiting: &mut WaitingSubmissions) {
     let mut ids: BTreeSet<&JobId> = BTreeSet::new();
     let duplicates: Vec<u64> = waiting
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -14,7 +14,7 @@
 
 /// Minimum time between two reads of the cloud's machine list.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(3);
-/// A digest with the news that a peer refuses submissions counts up to this age.
+/// A peer's digest that reports refused submissions is used up to this age.
 const MAX_DIGEST_AGE: Duration = Duration::from_secs(4);
 
 /// The coordinator's state about the fleet, in addition to the stored records.
--- a/crates/pulleywood-controller/src/session_lease.rs
+++ b/crates/pulleywood-controller/src/session_lease.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for the answer to a renewal.
+/// Longest wait for the response to a renewal.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Delay before a new lease is requested after the previous one expired.
 const NEW_LEASE_DELAY: Duration = Duration::from_millis(50);
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -1,4 +1,4 @@
-//! Releasing machines of a led shard: they are moved to another shard, or marked as retiring,
+//! Releasing machines of a led shard: they are moved to another shard, or marked as releasing,
 //! to be returned to the cloud. Only machines that hold no task are released.
 
 use super::RequestOutcome;
@@ -28,7 +28,7 @@
 pub enum Destination {
     /// To another shard.
     Shard(ShardId),
-    /// Back to the cloud, by retiring them.
+    /// Back to the cloud, by marking them as releasing.
     Cloud,
 }
 
@@ -123,7 +123,7 @@
 }
 
 /// Marks the machines that may leave as leaving, and prepares the transaction that writes
-/// their new records; `None` if no machine may leave now.
+/// their new records; `None` if this controller may not act or no machine may leave now.
 fn prepare(
     context: &ControllerContext,
     ids: &[MachineId],
@@ -238,7 +238,7 @@
     }
 }
 
-/// Undoes the mark of a machine as leaving, unless it is retiring.
+/// Undoes the mark of a machine as leaving, unless its record says that it is releasing.
 fn retain_machine(context: &ControllerContext, shard: ShardId, id: &MachineId) {
     let mut controller = context.controller.lock();
     if let Some(led) = controller.led_shards.get_mut(&shard)
--- a/crates/pulleywood-controller/src/shard/step.rs
+++ b/crates/pulleywood-controller/src/shard/step.rs
@@ -10,7 +10,9 @@
 use pulleywood_scheduler::shard::reachability::Reachability;
 use std::time::Duration;
 
-/// Time that a vacant shard is left to controllers that are better suited to lead it.
+/// Time that a vacant shard is left to better suited controllers. A controller that leads no
+/// shard, or that the vacant shard prefers, waits for half of it; one of which both is true
+/// does not wait.
 const VACANCY_GRACE: Duration = Duration::from_millis(800);
 
 /// A step that the leadership thread carries out.
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Greatest age of the cached state at which tasks are launched.
+/// Tasks are launched only while the cached state is younger than this.
 const MAX_LAUNCH_CACHE_AGE: Duration = Duration::from_secs(3);
 
 /// Time after which accepted work shows in the digests of its shard.
--- a/crates/pulleywood-controller/src/state/digests.rs
+++ b/crates/pulleywood-controller/src/state/digests.rs
@@ -92,7 +92,9 @@
         all
     }
 
-    /// Stores a peer's digest, unless it is older than the stored one.
+    /// Stores a peer's digest, unless it is a duplicate, older than the stored one, or from a
+    /// process that has been replaced. Stops leading the shards that the digest shows to be
+    /// served under a newer fencing token.
     pub fn put_digest(&mut self, digest: Digest, now: MonotonicTime) {
         // The network may deliver a digest late or more than once.
         let former = self.former_boots.iter().any(|boot| *boot == digest.boot);
@@ -130,9 +132,10 @@
     /// Applies a peer's response that lists the shards it serves; the request was sent at
     /// `sent`. If the peer was the previous leader of a led shard and no longer answers the
     /// shard's workers under its former fencing token, or its process has ended, it answers
-    /// none of them any more, so their leases expire within one lease from now. A digest of
-    /// the peer does not prove that: one from before it led the shard lists the same shards,
-    /// and may arrive late.
+    /// none of them any more, so their leases expire within the lease expiry bound from now.
+    /// A response to a request that was sent before this controller acquired the shard does
+    /// not prove that. Neither does a digest of the peer: one from before it led the shard
+    /// lists the same shards, and may arrive late.
     pub fn apply_served_shards(
         &mut self,
         peer: &MemberId,
