--- a/crates/pulleywood-controller/src/policy.rs
+++ b/crates/pulleywood-controller/src/policy.rs
@@ -301,8 +301,8 @@
         for pair in table.pairs::<String, Value>() {
             let (name, value) = pair.map_err(|e| PolicyError::Script(self.name.to_owned(), e))?;
             let key = format!("{RECOVERY}.{name}");
-            let Some(setting) = recovery::POLICY_SETTINGS.iter().find(|l| l.name == name) else {
-                let known = recovery::POLICY_SETTINGS.iter().map(|l| l.name);
+            let Some(setting) = recovery::POLICY_SETTINGS.iter().find(|s| s.name == name) else {
+                let known = recovery::POLICY_SETTINGS.iter().map(|s| s.name);
                 return self.unknown(&key, "no such setting", known);
             };
             let number = if setting.is_integer {
--- a/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
+++ b/crates/pulleywood-controller/src/recovery/fencing_tokens.rs
@@ -27,12 +27,12 @@
         context: &Arc<ControllerContext>,
     ) -> Result<(), StoreError> {
         let started_at = context.clock.now();
-        let shown = {
+        let observed = {
             let mut controller = context.controller.lock();
             let now = started_at;
             controller
                 .higher_fencing_tokens
-                .retain(|_, shown| now.since(shown.received_at) < MAX_TOKEN_AGE);
+                .retain(|_, observed| now.since(observed.received_at) < MAX_TOKEN_AGE);
             if controller.higher_fencing_tokens.is_empty() || !controller.may_act(now) {
                 return Ok(());
             }
@@ -46,7 +46,7 @@
             revision,
         } = read_fencing_token_counter(context)?;
         let max_gap = self.policy.max_fencing_token_gap as u64;
-        match counter::decide(&shown, counter, started_at, max_gap) {
+        match counter::decide(&observed, counter, started_at, max_gap) {
             CounterDecision::Raise { to, machine } => {
                 raise_counter(context, &machine, (counter, to), revision)
             }
@@ -65,7 +65,7 @@
                     .remove(&machine);
                 Ok(())
             }
-            CounterDecision::Sufficient => self.reacquire_shards(context, &shown, started_at),
+            CounterDecision::Sufficient => self.reacquire_shards(context, &observed, started_at),
         }
     }
 
@@ -75,14 +75,14 @@
     fn reacquire_shards(
         &mut self,
         context: &Arc<ControllerContext>,
-        shown: &BTreeMap<MachineId, ObservedToken>,
+        observed: &BTreeMap<MachineId, ObservedToken>,
         started_at: MonotonicTime,
     ) -> Result<(), StoreError> {
         let mut outdated: Vec<ShardId> = Vec::new();
         {
             let mut controller = context.controller.lock();
-            for (id, shown) in shown.iter().filter(|(_, s)| s.received_at < started_at) {
-                match controller.shard_behind_token(id, shown.fencing_token) {
+            for (id, observed) in observed.iter().filter(|(_, s)| s.received_at < started_at) {
+                match controller.shard_behind_token(id, observed.fencing_token) {
                     Some(shard) => outdated.push(shard),
                     None => drop(controller.higher_fencing_tokens.remove(id)),
                 }
@@ -140,15 +140,15 @@
 }
 
 impl ControllerState {
-    /// Returns the shard of a machine if this controller leads it under an earlier fencing
-    /// token than the machine has seen.
-    fn shard_behind_token(&self, id: &MachineId, shown: FencingToken) -> Option<ShardId> {
+    /// Returns the shard that a machine's record assigns it to, if this controller leads that
+    /// shard under an earlier fencing token than the machine has seen.
+    fn shard_behind_token(&self, id: &MachineId, observed: FencingToken) -> Option<ShardId> {
         let (record, _) = self.cached.machines.get(id)?;
         let led = self
             .led_shards
             .get(&record.shard)
             .filter(|led| led.loaded)?;
         let machine = led.state.machines.get(id)?;
-        (machine.fencing_token(led.state.fencing_token) < shown).then_some(record.shard)
+        (machine.fencing_token(led.state.fencing_token) < observed).then_some(record.shard)
     }
 }
--- a/crates/pulleywood-controller/src/state/context.rs
+++ b/crates/pulleywood-controller/src/state/context.rs
@@ -104,16 +104,16 @@
     /// Makes the next digest that this controller sends to its peers.
     pub fn digest(&self) -> Digest {
         let now = self.clock.now();
-        let state_ok = self.store.is_available();
+        let store_reachable = self.store.is_available();
         let mut controller = self.controller.lock();
         Digest {
             member: self.controller_id.clone(),
             boot: self.boot,
             seq: self.last_digest_seq.fetch_add(1, Ordering::Relaxed) + 1,
-            store_reachable: state_ok,
+            store_reachable,
             ready_to_lead: controller.cache_loaded
                 && controller.lease.lease_id.is_some()
-                && state_ok
+                && store_reachable
                 && now >= controller.acquire_backoff.until,
             refusing_submissions: self.refused_recently(now),
             serving: controller.serving(now),
--- a/crates/pulleywood-controller/src/state/controller_state.rs
+++ b/crates/pulleywood-controller/src/state/controller_state.rs
@@ -198,11 +198,11 @@
         fencing_token: FencingToken,
         now: MonotonicTime,
     ) {
-        let shown = ObservedToken {
+        let observed = ObservedToken {
             fencing_token,
             received_at: now,
         };
-        self.higher_fencing_tokens.insert(machine.clone(), shown);
+        self.higher_fencing_tokens.insert(machine.clone(), observed);
     }
 
     /// Whether a job has been accepted and has not ended, as far as the cached state shows.
