--- a/crates/pulleywood-recovery/src/machine_class.rs
+++ b/crates/pulleywood-recovery/src/machine_class.rs
@@ -188,7 +188,7 @@
         (
             MachineClass::LeaseExpired,
             MachineAction::RelaunchTasks,
-            "sent no heartbeat, and its lease has expired".to_owned(),
+            "sent no heartbeat, and its lease is certain to have expired".to_owned(),
         )
     } else {
         (
