--- a/crates/pulleywood-protocol/src/cloud.rs
+++ b/crates/pulleywood-protocol/src/cloud.rs
@@ -79,7 +79,7 @@
     Starting,
     /// Running, or failed less than about half a minute ago.
     Running,
-    /// Stopped by a failure or by the cloud; listed until it is released.
+    /// Stopped without having been released; listed until it is released.
     Failed,
     /// A status that this release does not know.
     #[serde(other)]
--- a/crates/pulleywood-protocol/src/ids.rs
+++ b/crates/pulleywood-protocol/src/ids.rs
@@ -134,7 +134,8 @@
 }
 
 impl MachineId {
-    /// The shard that registers this machine, unless its leader cannot.
+    /// The shard that the machine's id hashes to. It selects the shard that registers the machine,
+    /// unless the leader of that shard cannot.
     pub fn shard(&self, shard_count: u32) -> ShardId {
         shard_of(&self.0, shard_count)
     }
--- a/crates/pulleywood-protocol/src/peer.rs
+++ b/crates/pulleywood-protocol/src/peer.rs
@@ -91,8 +91,8 @@
     pub rebuilding: bool,
     /// Waiting tasks, grouped by shape.
     pub demand: Vec<Demand>,
-    /// Tasks, waiting or running, on machines of types that they should leave to work with fewer
-    /// allowed types.
+    /// Tasks of array jobs that occupy machines of types which the jobs should leave to work with
+    /// fewer allowed types.
     #[serde(rename = "displaced", default)]
     pub displaced_demand: Vec<Demand>,
     /// Room to keep free for the next service job: the largest one of each class.
--- a/crates/pulleywood-recovery/src/fetch_gate.rs
+++ b/crates/pulleywood-recovery/src/fetch_gate.rs
@@ -1,4 +1,4 @@
-//! Priority of services' image fetches over those of lower ranks while a shard recovers.
+//! Priority of services' image fetches over those below production rank while a shard recovers.
 
 use crate::policy::RecoveryPolicy;
 use pulleywood_protocol::MonotonicTime;
@@ -13,8 +13,8 @@
 /// fetches are not limited.
 ///
 /// While replicas of the shard's services are missing, and for at most `services_first_s`
-/// seconds, image fetches for lower ranks are limited to `fetches_per_zone` in each zone. The
-/// gate states how many more of them may start.
+/// seconds, image fetches for ranks below production are limited to `fetches_per_zone` in each
+/// zone. The gate states how many more of them may start.
 pub fn fetch_gate(
     policy: &RecoveryPolicy,
     shard: &ShardSnapshot,
--- a/crates/pulleywood-recovery/src/policy.rs
+++ b/crates/pulleywood-recovery/src/policy.rs
@@ -10,10 +10,10 @@
     /// Minimum interval between two slices of the audit, in seconds.
     pub audit_interval_s: f64,
     /// How long after a failover image fetches for services that lack replicas have priority
-    /// over those for lower ranks, in seconds; 0 turns the priority off.
+    /// over those below production rank, in seconds; 0 turns the priority off.
     pub services_first_s: f64,
-    /// Maximum number of concurrent image fetches for lower ranks in a zone while services
-    /// have priority.
+    /// Maximum number of concurrent image fetches below production rank in a zone while
+    /// services have priority.
     pub fetches_per_zone: f64,
     /// How far the fencing-token counter may be raised in one step to reach a token that a
     /// worker has seen. A larger gap is reported and left to the operator.
--- a/crates/pulleywood-recovery/src/progress.rs
+++ b/crates/pulleywood-recovery/src/progress.rs
@@ -15,13 +15,13 @@
 pub enum Phase {
     /// The records of the shard are being read.
     Read,
-    /// Some machines have not sent a heartbeat yet, and no task from before the failover is
-    /// blocked by them.
+    /// Some machines may still run unreported tasks of a previous leader, or have records that
+    /// cannot be decoded, and no task from before the failover waits for them.
     Hear,
-    /// Tasks from before the failover are blocked by machines that have not sent a heartbeat.
+    /// Tasks from before the failover wait for such machines.
     Decide,
-    /// All machines have reported; tasks from before the failover are being launched, stopped
-    /// or recorded as done.
+    /// No machine may run unreported tasks any more; tasks from before the failover are being
+    /// launched, stopped or recorded as done.
     Act,
     /// All machines and tasks of the previous leader are accounted for.
     Complete,
--- a/crates/pulleywood-recovery/src/reconcile.rs
+++ b/crates/pulleywood-recovery/src/reconcile.rs
@@ -18,12 +18,14 @@
     pub done: RoaringBitmap,
     /// Completed on a machine, and not yet recorded as done.
     pub uncommitted: RoaringBitmap,
-    /// Running on the right machine: no command is needed.
+    /// The newest attempt is running on a machine of the shard that the task is assigned to: no
+    /// command is needed.
     pub running: RoaringBitmap,
     /// Running on a machine that has to stop the task, or to confirm its state by a current
     /// heartbeat, before the task is launched again.
     pub blocked: RoaringBitmap,
-    /// Possibly running on a machine that has not sent a heartbeat.
+    /// Possibly running on a machine that has not sent a current heartbeat, or whose record is
+    /// duplicated or cannot be decoded.
     pub unreported: RoaringBitmap,
     /// Not running on any machine: to be launched.
     pub missing: RoaringBitmap,
@@ -227,9 +229,9 @@
         set.insert(status.task.index);
     }
 
-    /// Assigns the tasks that no heartbeat lists: to `unreported` if a machine that has not
-    /// reported may run them, else to `missing`. A task in several sets stays only in the set
-    /// with the highest precedence.
+    /// Assigns the tasks that no heartbeat lists: to `unreported` if they may run on a machine
+    /// whose tasks are not known for certain, else to `missing`. A task in several sets stays
+    /// only in the set with the highest precedence.
     fn assign_unreported_tasks(&mut self, evidence: &Evidence<'_>) {
         let unreported_kinds = self.unreported_kinds(evidence);
         let unknown_machines = has_unknown_machines(evidence);
