--- a/crates/pulleywood-protocol/src/machine_batch.rs
+++ b/crates/pulleywood-protocol/src/machine_batch.rs
@@ -1,6 +1,6 @@
 //! Machine batches: records of several machines that are stored in one value.
 //!
-//! Machines start by the hundred. With one write for each, the last of them would stay idle
+//! Machines start in hundreds. With one write for each, the last of them would stay idle
 //! until the store has accepted all these writes. Machines that send their first heartbeats at
 //! about the same time are therefore registered in one transaction. Their records stay in one
 //! value, so that a later change of all of them (images, release) is one write too. Each
@@ -157,8 +157,9 @@
         self.machine_batches.get(&number)
     }
 
-    /// The machine batch with the most machines to which `added` machines can be added without
-    /// exceeding `max_machines`, among those all of whose machines `accepts` accepts.
+    /// The fullest machine batch to which `added` machines can be added without exceeding
+    /// `max_machines`. Batches with a machine for which `accepts` is false, and empty batches, are
+    /// left out.
     pub fn find_with_room(
         &self,
         added: usize,
--- a/crates/pulleywood-recovery/src/evidence.rs
+++ b/crates/pulleywood-recovery/src/evidence.rs
@@ -65,7 +65,7 @@
     Job(JobId),
     /// A single machine.
     Machine(MachineId),
-    /// All records in the value, or all that an unknown key stands for.
+    /// Everything in the value: all records of a batch, or the contents of an unknown key.
     WholeValue,
 }
 
--- a/crates/pulleywood-recovery/tests/audit.rs
+++ b/crates/pulleywood-recovery/tests/audit.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Audits until the whole store has been compared twice. Returns the discrepancies discrepancies and
+/// Audits until the whole store has been compared twice. Returns the confirmed discrepancies and
 /// the number of slices read. `after_read` runs after each read for which the cached state is
 /// up to date.
 fn audit_twice(
--- a/crates/pulleywood-recovery/tests/reconcile.rs
+++ b/crates/pulleywood-recovery/tests/reconcile.rs
@@ -681,7 +681,8 @@
     });
 }
 
-/// The keys of a JSON object, in order, joined by spaces.
+/// The keys of a JSON object, in order, joined by spaces. Operators' scripts read the keys of
+/// the report.
 fn keys(value: &serde_json::Value) -> String {
     let keys = value.as_object().expect("not a JSON object").keys();
     keys.cloned().collect::<Vec<_>>().join(" ")
