--- a/crates/pulleywood-controller/src/api/workers.rs
+++ b/crates/pulleywood-controller/src/api/workers.rs
@@ -200,7 +200,7 @@
     drop(controller);
     if !commands.is_empty() {
         log::debug!(
-            "sent commands to machine {}: {commands:?}",
+            "sending commands to machine {}: {commands:?}",
             heartbeat.machine
         );
     }
--- a/crates/pulleywood-controller/src/coordinator/flavors.rs
+++ b/crates/pulleywood-controller/src/coordinator/flavors.rs
@@ -23,8 +23,11 @@
                 context.work_available.notify_all();
                 return;
             }
-            Ok(_) => log::error!("read an empty list of machine types from the cloud"),
-            Err(e) => log::debug!("failed to read the machine types: {e}"),
+            Ok(_) => log::error!(
+                "read an empty list of machine types from the cloud; reading it again in \
+                 {RETRY_DELAY:?}: this controller acquires no shard until a read returns types"
+            ),
+            Err(e) => log::debug!("failed to read the machine types from the cloud: {e}"),
         }
         std::thread::sleep(RETRY_DELAY);
     }
--- a/crates/pulleywood-controller/src/coordinator/fleet.rs
+++ b/crates/pulleywood-controller/src/coordinator/fleet.rs
@@ -78,7 +78,7 @@
                 self.list_read_at = Some(now);
             }
             Ok(None) => log::debug!("read one page of the machine list"),
-            Err(e) => log::debug!("failed to read the machine list: {e}"),
+            Err(e) => log::debug!("failed to read the machine list from the cloud: {e}"),
         }
         let retention = list_lag(context) * 3 + Duration::from_secs(60);
         self.recently_released
--- a/crates/pulleywood-controller/src/coordinator/rentals.rs
+++ b/crates/pulleywood-controller/src/coordinator/rentals.rs
@@ -106,8 +106,11 @@
         }
         Err(CloudError::NoCapacity) => {
             log::info!(
-                "failed to rent {} machines: the cloud has no capacity for {kind:?}",
-                request.count
+                "failed to rent {} {} machines in zone {} (spot: {}): the cloud has no capacity",
+                request.count,
+                request.flavor,
+                request.zone,
+                request.spot
             );
             fleet.history.record_refusal(&kind, now);
         }
@@ -118,7 +121,14 @@
             );
             fleet.pending_requests.push(request);
         }
-        Err(e) => log::debug!("failed to send rental request {}: {e}", request.name),
+        Err(e) => log::debug!(
+            "failed to rent {} {} machines in zone {} (spot: {}) by request {}: {e}",
+            request.count,
+            request.flavor,
+            request.zone,
+            request.spot,
+            request.name
+        ),
     }
     RentalOutcome::NotRented
 }
--- a/crates/pulleywood-controller/src/coordinator/requests.rs
+++ b/crates/pulleywood-controller/src/coordinator/requests.rs
@@ -39,7 +39,24 @@
     if let Some(peer) = context.peers.get(&leader)
         && let Err(e) = peer.call(&request, RESPONSE_TIMEOUT)
     {
-        log::debug!("failed to send a request to {leader}, the leader of shard {shard}: {e}");
+        log::debug!(
+            "failed to send a {} request to {leader}, the leader of shard {shard}, or to receive \
+             its response: {e}",
+            request_kind(&request)
+        );
+    }
+}
+
+fn request_kind(request: &PeerRequest) -> &'static str {
+    match request {
+        PeerRequest::Digest(_) => "digest",
+        PeerRequest::MoveMachines(..) => "machine move",
+        PeerRequest::DrainMachines(_) => "machine drain",
+        PeerRequest::ReleaseMachines(_) => "machine release",
+        PeerRequest::TransferTasks(..) => "task transfer",
+        PeerRequest::ShrinkQuota(..) => "quota reduction",
+        PeerRequest::NoteCancellations(_) => "cancellation notice",
+        PeerRequest::BorrowWriteTokens => "write token",
     }
 }
 
--- a/crates/pulleywood-controller/src/inspect.rs
+++ b/crates/pulleywood-controller/src/inspect.rs
@@ -153,7 +153,7 @@
             let by_label = flavors.into_iter().map(|f| (f.label.clone(), f));
             config.flavors = by_label.collect();
         }
-        Err(e) => log::warn!("failed to read the machine types: {e}"),
+        Err(e) => log::warn!("failed to read the machine types from the cloud: {e}"),
     }
     let mut evidence = CloudEvidence::new(secs(settings.cluster.cloud.list_lag_s));
     evidence.update(
@@ -173,7 +173,7 @@
             Ok(Some(list)) => return Some(list),
             Ok(None) => {}
             Err(e) if retries == MAX_RETRIES => {
-                log::warn!("failed to read the machine list: {e}");
+                log::warn!("failed to read the machine list from the cloud: {e}");
                 return None;
             }
             Err(_) => retries += 1,
--- a/crates/pulleywood-controller/src/peers.rs
+++ b/crates/pulleywood-controller/src/peers.rs
@@ -51,7 +51,7 @@
 /// other controllers have unused tokens.
 pub fn borrow_write_tokens(context: &Arc<ControllerContext>) {
     loop {
-        for peer in context.peers.values() {
+        for (peer_id, peer) in &context.peers {
             std::thread::sleep(BORROW_INTERVAL);
             if !context.store.budget().is_short_of_writes() {
                 continue;
@@ -62,7 +62,7 @@
                     context.store.budget().add_write_tokens(tokens);
                 }
                 Ok(_) => {}
-                Err(e) => log::debug!("failed to borrow write tokens from a peer: {e}"),
+                Err(e) => log::debug!("failed to borrow write tokens from {peer_id}: {e}"),
             }
         }
         if context.peers.is_empty() {
--- a/crates/pulleywood-controller/src/shard/acquire.rs
+++ b/crates/pulleywood-controller/src/shard/acquire.rs
@@ -176,10 +176,16 @@
         let now = context.clock.now();
         let previous_launches = self.previous_launches(context, now);
         log::info!(
-            "acquired shard {} with fencing token {}, previous leader {:?}",
+            "acquired shard {} with fencing token {}, previous leader {}",
             self.shard,
             self.holder.fencing_token,
-            self.previous
+            self.previous.as_ref().map_or_else(
+                || "none known".to_owned(),
+                |previous| format!(
+                    "{} (fencing token {}, reconciled: {})",
+                    previous.holder.member, previous.holder.fencing_token, previous.reconciled
+                )
+            )
         );
         let mut controller = context.controller.lock();
         if controller.lease.lease_id != Some(self.lease_id)
--- a/crates/pulleywood-controller/src/shard/layout.rs
+++ b/crates/pulleywood-controller/src/shard/layout.rs
@@ -4,6 +4,7 @@
 use pulleywood_protocol::record::{FencingTokenCounter, LAYOUT, Layout};
 use pulleywood_protocol::store::Transaction;
 use pulleywood_protocol::{FencingToken, Revision};
+use pulleywood_transport::store::Outcome;
 use pulleywood_transport::{RequestPriority, StoreError};
 use std::time::Duration;
 
@@ -23,7 +24,15 @@
     let outcome = context
         .store
         .commit(RequestPriority::ShardLeader, &transaction)?;
-    log::info!("stored the layout with {shards} shards: {outcome:?}");
+    match outcome {
+        Outcome::Applied(revision) => {
+            log::info!("stored the layout with {shards} shards at revision {revision}");
+        }
+        Outcome::Conflict => log::info!(
+            "failed to store the layout with {shards} shards: the layout or the fencing-token \
+             counter already exists"
+        ),
+    }
     std::thread::sleep(WATCH_DELAY);
     Ok(())
 }
--- a/crates/pulleywood-controller/src/shard/leadership.rs
+++ b/crates/pulleywood-controller/src/shard/leadership.rs
@@ -47,7 +47,7 @@
         }
         LeadershipStep::HandOver(shard) => hand_over::hand_over(context, shard),
         LeadershipStep::GiveUp(shard) => {
-            log::info!("gave up shard {shard}: none of its workers reaches this controller");
+            log::info!("giving up shard {shard}: none of its workers reaches this controller");
             let now = context.clock.now();
             context.controller.lock().back_off_acquiring(now);
             hand_over::hand_over(context, shard)
--- a/crates/pulleywood-controller/src/shard/registration.rs
+++ b/crates/pulleywood-controller/src/shard/registration.rs
@@ -155,7 +155,7 @@
             // Another machine batch was written since, or a shard has a new leader.
             Ok(Err(failed)) => {
                 log::debug!(
-                    "failed to write machine batch {}: {failed:?} changed",
+                    "failed to write machine batch {}: keys {failed:?} changed",
                     prepared.number
                 );
             }
--- a/crates/pulleywood-controller/src/shard/release_machines.rs
+++ b/crates/pulleywood-controller/src/shard/release_machines.rs
@@ -212,7 +212,14 @@
             Ok(Outcome::Applied(revision)) => {
                 context.put_machine_batches(self.machine_batches, revision);
                 let (shard, machines) = (self.shard, &self.machines);
-                log::info!("released machines {machines:?} of shard {shard} to {to}");
+                match to {
+                    Destination::Shard(_) => {
+                        log::info!("released machines {machines:?} of shard {shard} to {to}");
+                    }
+                    Destination::Cloud => log::info!(
+                        "marked machines {machines:?} of shard {shard} for release to {to}"
+                    ),
+                }
                 RequestOutcome::Accepted
             }
             Ok(Outcome::Conflict)
--- a/crates/pulleywood-controller/src/state/records.rs
+++ b/crates/pulleywood-controller/src/state/records.rs
@@ -94,8 +94,10 @@
     let batch = log_unreadable(JobBatchRecord::from_value(value), path)?;
     for record in &batch.unreadable {
         let id = pulleywood_protocol::job_batch::unreadable_job_id(record);
-        let name = id.map_or("of unknown id".to_owned(), |id| id.to_string());
-        log::error!("failed to decode job {name} in job batch {path}");
+        match id {
+            Some(id) => log::error!("failed to decode job {id} in job batch {path}"),
+            None => log::error!("failed to decode a job of unknown id in job batch {path}"),
+        }
     }
     Some(batch)
 }
--- a/crates/pulleywood-protocol/src/settings/check.rs
+++ b/crates/pulleywood-protocol/src/settings/check.rs
@@ -48,7 +48,10 @@
     )]
     TooFewOperations,
     /// Too few threads for connections would be left for a usable controller.
-    #[error("too low: leaves too few threads for other controllers, workers and users")]
+    #[error(
+        "too low: leaves fewer than {} threads for workers, users and health checks",
+        ConnectionLimits::MIN_THREADS
+    )]
     TooFewThreads,
 }
 
--- a/crates/pulleywood-transport/src/cloud.rs
+++ b/crates/pulleywood-transport/src/cloud.rs
@@ -23,13 +23,20 @@
     NoCapacity,
     /// The cloud rejected the request with this HTTP status and did not execute it; 0 if the
     /// request was not sent.
-    #[error("request to the cloud was rejected with HTTP status {0} (0: not sent)")]
+    #[error("{}", refusal_text(*.0))]
     Refused(u16),
     /// The request may have been executed, or may still be.
     #[error("outcome of the request to the cloud is unknown: {0}")]
     OutcomeUnknown(String),
 }
 
+fn refusal_text(status: u16) -> String {
+    match status {
+        0 => "request to the cloud was not sent: failed to connect".to_owned(),
+        _ => format!("request to the cloud was rejected with HTTP status {status}"),
+    }
+}
+
 /// Client of the cloud.
 #[derive(Debug)]
 pub struct CloudClient {
